--- a/sableford/net/hand.py
+++ b/sableford/common/serial_executor.py
@@ -1,7 +1,7 @@
-"""A thread of its own for what a disk or a pipe may hold up, so that the loop never waits for one.
+"""A thread for calls that a disk or a pipe may hold up, so that the event loop never waits for one.
 
 It owns the order of calls: one under way, the rest behind it, a later one of a kind in place of an earlier
-that waits. It must never touch what the loop owns; a result goes back by the loop's own call.
+one that waits. It must never touch what the loop owns; a result goes back by `call_soon_threadsafe`.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from typing import Any
 
 
-class Hand:
+class SerialExecutor:
     """Calls of one loop, run one after the other. The thread starts with the first call and ends with the
     process: one that a disk never gives back must not keep a process from its end."""
 
@@ -23,7 +23,7 @@
         self._waiting: dict[str, tuple[Callable[[], object], list[asyncio.Future[Any]]]] = {}
         self._begun = False
 
-    def do(self, kind: str, work: Callable[[], object]) -> asyncio.Future[Any]:
+    def submit(self, kind: str, work: Callable[[], object]) -> asyncio.Future[Any]:
         """What `work` gives, begun after this call. Where one of this kind waits already, the later work runs
         in its place, once, and both futures get what it gave."""
         future = asyncio.get_running_loop().create_future()
--- a/sableford/node/settings.py
+++ b/sableford/common/settings.py
@@ -113,7 +113,7 @@
     >>> parse("nodeName: a", "s.yaml")
     Traceback (most recent call last):
     ...
-    sableford.node.settings.SettingsError: s.yaml: Object missing required field `bindIp`
+    sableford.common.settings.SettingsError: s.yaml: Object missing required field `bindIp`
     """
     try:
         given = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
--- a/sableford/control/configuration.py
+++ b/sableford/control/configuration.py
@@ -19,7 +19,7 @@
 Revision = Annotated[int, Field(ge=1, le=MAX_REVISION, strict=True)]
 
 
-class Invalid(Exception):
+class InvalidRequestError(Exception):
     """One line that names the field."""
 
 
@@ -91,12 +91,13 @@
 
 
 def check(doc: Any) -> Configuration:
-    """Raises Invalid.
+    """Raises InvalidRequestError.
 
-    >>> check({"revision": 1, "routes": [], "backends": [{"name": ""}]})
-    Traceback (most recent call last):
-    ...
-    sableford.control.configuration.Invalid: backends.0.name: String should have at least 1 character
+    >>> try:
+    ...     check({"revision": 1, "routes": [], "backends": [{"name": ""}]})
+    ... except InvalidRequestError as problem:
+    ...     print(problem)
+    backends.0.name: String should have at least 1 character
     """
     try:
         return Configuration.model_validate(doc)
@@ -104,11 +105,12 @@
         first = problem.errors(include_url=False)[0]
         place = ".".join(str(part) for part in first["loc"])
         text = first["msg"].removeprefix("Value error, ")
-        raise Invalid(f"{place}: {text}" if place else text) from None
+        raise InvalidRequestError(f"{place}: {text}" if place else text) from None
 
 
 def check_depth(given: Any) -> None:
-    """Raises Invalid where JSON is nested deeper than its writers, here and at others, can follow."""
+    """Raises InvalidRequestError where JSON is nested deeper than its writers, here and at others, can
+    follow."""
     level = [given]
     for _ in range(MAX_DEPTH):
         below: list[Any] = []
@@ -120,11 +122,11 @@
         if not below:
             return
         level = below
-    raise Invalid(f"the body: nested more than {MAX_DEPTH} levels deep")
+    raise InvalidRequestError(f"the body: nested more than {MAX_DEPTH} levels deep")
 
 
-def amended(doc: dict, change: dict) -> dict:
-    """The configuration that an amendment makes; `doc` stays as it is. Raises Invalid.
+def amended(doc: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+    """The configuration that an amendment makes; `doc` stays as it is. Raises InvalidRequestError.
 
     >>> amended({"revision": 1, "routes": [{"name": "a"}, {"name": "b"}]}, {"revision": 2,
     ...     "upsert": {"routes": [{"name": "b", "x": 1}, {"name": "c"}]}, "remove": {"routes": ["a"]}})
@@ -142,12 +144,12 @@
     return new
 
 
-def _parts(change: dict, field: str) -> list[tuple[str, Any]]:
+def _parts(change: dict[str, Any], field: str) -> list[tuple[str, Any]]:
     given = change.get(field)
     if given is None:
         return []
     if not isinstance(given, dict):
-        raise Invalid(f"{field}: an object is wanted")
+        raise InvalidRequestError(f"{field}: an object is wanted")
     return list(given.items())
 
 
@@ -157,20 +159,20 @@
     )
 
 
-def _without(present: Any, names: Any, part: str) -> list[dict]:
+def _without(present: Any, names: Any, part: str) -> list[dict[str, Any]]:
     if not _named(present):
-        raise Invalid(f"remove.{part}: the configuration has no named items of that kind")
+        raise InvalidRequestError(f"remove.{part}: the configuration has no named items of that kind")
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise Invalid(f"remove.{part}: a list of names is wanted")
+        raise InvalidRequestError(f"remove.{part}: a list of names is wanted")
     unwanted = set(names)
     return [item for item in present if item["name"] not in unwanted]
 
 
-def _with(present: Any, items: Any, part: str) -> list[dict]:
+def _with(present: Any, items: Any, part: str) -> list[dict[str, Any]]:
     if not _named(present):
-        raise Invalid(f"upsert.{part}: the configuration has no named items of that kind")
+        raise InvalidRequestError(f"upsert.{part}: the configuration has no named items of that kind")
     if not _named(items):
-        raise Invalid(f"upsert.{part}: a list of items with names is wanted")
+        raise InvalidRequestError(f"upsert.{part}: a list of items with names is wanted")
     by_name = {item["name"]: item for item in present}
     by_name.update((item["name"], item) for item in items)
     return list(by_name.values())
--- a/sableford/control/coordinator.py
+++ b/sableford/control/coordinator.py
@@ -1,14 +1,17 @@
 """The leader's soft state: members under leases, whose each shard is, and the workers. No I/O.
 
-Nothing of it is logged: who takes the lead gathers it anew from those who join, and moves nothing before
-each store has joined, is proven to be over, or could hold a lease of an earlier leader no longer.
-
-    input                   next state                           effects
-    joined, renewed         the member's lease runs from now     snapshot; Register a new store
-    expired, over (proof)   no member; its shards are nobody's   news of a view
-    acked                   what it has applied                  Done for who waited; the next view
-    beat, left, silent      the worker's line                    news; Done once all stores have it
-    configured              the operator's word in force         news; Done once all members have it
+Nothing of it is on disk: a new leader gathers it from those who join, and moves no shard before each store
+has
+joined, is proven to have ended, or could hold a lease of an earlier leader no longer.
+
+    input                        next state                           effects
+    joined, renewed              the member's lease runs from now     a snapshot; AddStore for a new store
+    expired, ended (proof)       no member; its shards are nobody's   an update with a view
+    acknowledged                 what it has applied                  WaitEnded; the next view
+    worker's heartbeat, leave,   the worker's entry                   an update; WaitEnded once all stores
+    silence                                                           have applied it
+    configuration changed        the configuration in force           an update; WaitEnded once all members
+                                                                      have applied it
 """
 
 from collections.abc import Callable, Iterable
@@ -17,418 +20,487 @@
 import msgspec
 
 from sableford.control.departures import Departures
-from sableford.control.effects import Done, Effect, News, Register, Said, Strike
+from sableford.control.effects import AddStore, Effect, LogEvent, RemoveStore, SendUpdate, WaitEnded
+from sableford.control.protocol import ConfigurationVersion, JoinRequest, RenewRequest, Update
+from sableford.control.timing import ABSENT_MS, APPLY_WAIT_MS, JOIN_WAIT_MS, LEASE_MS, QUORUM_FRESH_MS
 from sableford.control.view import SHARDS, Number, StoreInfo, View, shares
-from sableford.control.worker_registry import WorkerRegistry
+from sableford.control.worker_registry import WorkerChange, WorkerListed, WorkerRegistry
 from sableford.control.workers import Worker
 
-LEASE = (
-    1000.0  # ms: some longer than most elections, and what is put to a silent store waits for it to run out
-)
-RENEW = 200.0  # ms between renewals: four in a lease may be lost
-FRESH = 300.0  # ms since a majority's answer for which a leader goes on granting leases and giving out shards
-JOIN_WAIT = 400.0  # ms that a new leader gives stores to join before it takes those missing for gone
-APPLIED = 600.0  # ms that an acknowledgement to the outside waits for members to apply what it is about
-ABSENT = 1600.0  # ms a store may be away before the others do without it, where no bound is given
+ALL_ROLES = ("edge", "store")
+STORES = ("store",)
 
 
 class Member(msgspec.Struct):
-    birth: str
+    """A process under a lease."""
+
+    incarnation: str
     role: str
     zone: str
     node: str
     control: str
-    until: float
-    sent: int = 0  # the last news put on its line
-    acked: int = -1  # news 0 is the snapshot of a leader that has told nothing yet
+    lease_until: float
+    sent: int = 0  # the last update sent to it
+    acknowledged: int = -1  # update 0 is the snapshot of a leader that has sent no other yet
     leaving: bool = False
-    whole: bool = True
-    registered: bool = False
+    complete: bool = True
+    registered: bool = False  # it stands in the roster
     empty: bool = False
-    audits: dict[str, str] = {}  # stores whose folder it has compared, by the birth it was of
-    safe: Number = (0, 0)  # the newest view under which all messages of its shards had their copies
-    spares: Number = (0, 0)  # the same, with nothing counted on stores that leave; not said by version 0.4
+    audits: dict[str, str] = {}  # stores whose disk it has compared, by their incarnation
+    safe: Number = (0, 0)  # the newest view under which all messages of its shards had their replicas
+    safe_without_leaving: Number = (0, 0)  # the same, with nothing counted on stores that leave
     full: bool = False  # its disk takes nothing more
 
 
 class _Wait(NamedTuple):
+    """Somebody waits until these members have applied an update."""
+
     token: int
-    number: int
+    update_number: int
     names: set[str]
     until: float
-    settled: bool
+    after_old_leases: bool  # and until no store can hold a lease of an earlier leader
 
 
 class Coordinator:
-    """Decides only while it `leads`. Names are inner hosts."""
+    """Decides only while it `leads`. Names are inner hosts; times are ms of the leader's clock."""
 
-    def __init__(self, heartbeat_ms: float, absent_ms: float = ABSENT) -> None:
+    def __init__(self, heartbeat_ms: float, absent_ms: float = ABSENT_MS) -> None:
         """`absent_ms`: how long a store may be away before the others do without it; the time in which it was
         leaving counts."""
         self.leads = False
-        self.fresh: Callable[[float], bool] = lambda now: True  # whether no other can have taken the lead
+        # Whether a majority has answered of late, so that no other can have become the leader meanwhile.
+        self.majority_is_recent: Callable[[float], bool] = lambda now: True
         self.term = 0
         self.members: dict[str, Member] = {}
         self.roster: list[str] = []
-        self.retiring: set[str] = set()  # stores that are to be emptied, by the operator's word
+        self.retiring: set[str] = set()  # stores that are to be emptied, by an operator's order
         self.retired: set[str] = set()
         self.view = View()
-        self.registry = WorkerRegistry(heartbeat_ms, self._tell_stores)
-        self.config: dict | None = None
-        self.number = 0  # of the last news
-        self._view_news = 0  # the news that told the current view
-        self._holders: dict[
-            int, tuple[str, int]
-        ] = {}  # shard: who must acknowledge which news before it is given
-        self._warm = False
-        self._may_move_at = 0.0  # then no lease of an earlier leader runs any more
-        self._over: set[str] = set()  # stores proven to be over since this lead began
+        self.registry = WorkerRegistry(heartbeat_ms, self._broadcast_worker_change)
+        self.config: ConfigurationVersion | None = None
+        self.update_number = 0  # of the last update
+        # Shards that are nobody's: who must acknowledge which update before each is given to the next owner.
+        self._awaited_releases: dict[int, tuple[str, int]] = {}
+        self._old_leases_ended = False
+        self._old_leases_until = 0.0  # then no lease of an earlier leader runs any more
+        self._ended: set[str] = set()  # stores proven to have ended since this lead began
         self._waits: list[_Wait] = []
-        self._best: View | None = None
-        self._token = 0
-        self._proposed: set[str] = set()
+        self._newest_view: View | None = None  # of those that members have applied
+        self._last_token = 0
+        self._changing: set[str] = set()  # stores that are being added to the roster or removed
         self._departures = Departures(absent_ms)
         self._zones: dict[str, str] = {}  # of stores that members have told of, also of those that are away
 
     @property
     def workers(self) -> dict[str, Worker]:
-        return self.registry.table.lines
+        """The workers that are listed, by id."""
+        return self.registry.table.entries
 
     # Who leads
 
-    def lead(self, now: float, term: int, earlier_leader_until: float | None = None) -> list[Effect]:
+    def become_leader(self, now: float, term: int, earlier_leader_until: float | None = None) -> list[Effect]:
         """`earlier_leader_until`: when a leader before this one could last grant on a majority's answer."""
-        self.leads, self.term, self._warm = True, term, False
+        self.leads, self.term, self._old_leases_ended = True, term, False
         earlier = now if earlier_leader_until is None else earlier_leader_until
-        self._may_move_at = max(now + JOIN_WAIT, earlier + FRESH + LEASE)
-        self.members, self._over, self._waits, self._best = {}, set(), [], None
-        self.number, self._holders, self._proposed = 0, {}, set()
-        self.registry.lead(now)
-        return [Said("core_leads", {"term": term})]
+        self._old_leases_until = max(now + JOIN_WAIT_MS, earlier + QUORUM_FRESH_MS + LEASE_MS)
+        self.members, self._ended, self._waits, self._newest_view = {}, set(), [], None
+        self.update_number, self._awaited_releases, self._changing = 0, {}, set()
+        self.registry.become_leader(now)
+        return [LogEvent("core_leads", {"term": term})]
 
     def step_down(self) -> list[Effect]:
+        """Another process may lead from now on."""
         if not self.leads:
             return []
         self.leads = False
-        out: list[Effect] = [Done(wait.token, False) for wait in self._waits]
+        effects: list[Effect] = [WaitEnded(wait.token, False) for wait in self._waits]
         self._waits, self.members = [], {}
-        return [*out, Said("core_leads_no_more", {"term": self.term})]
+        return [*effects, LogEvent("core_leads_no_more", {"term": self.term})]
 
-    def mirror(self, view: View, workers: Iterable[Worker], now: float) -> None:
-        """What another leader told this process, in case it leads next."""
+    def observe(self, view: View, workers: Iterable[Worker], now: float) -> None:
+        """What another leader has sent this process, in case it leads next."""
         if not self.leads:
             self.view = view
             self._departures.see(now, view, self.roster)
             self.registry.table.replace(now, workers)
 
-    def enrol(
+    def roster_changed(
         self, now: float, roster: list[str], retiring: Iterable[str] = (), retired: Iterable[str] = ()
     ) -> list[Effect]:
-        """The stores that stand in the record."""
+        """The stores that stand in the roster."""
         self.roster, self.retiring, self.retired = roster, set(retiring), set(retired)
-        self._proposed &= set(roster)
+        self._changing &= set(roster)
         if not self.leads:
             return []
-        out: list[Effect] = []
+        effects: list[Effect] = []
         for name, member in self.members.items():
             member.registered = name in roster
-            out += self._enter(name, member)
-        return out + self._steer(now)
+            effects += self._add_to_roster(name, member)
+        return effects + self._assign_shards(now)
 
-    def _enter(self, name: str, member: Member) -> list[Effect]:
-        """A store that is here and does not stand in the record is to."""
-        if member.role != "store" or member.registered or name in self._proposed | self.retired:
+    def _add_to_roster(self, name: str, member: Member) -> list[Effect]:
+        """A store that is a member and does not stand in the roster is to."""
+        if member.role != "store" or member.registered or name in self._changing | self.retired:
             return []
-        self._proposed.add(name)
-        return [Register(name)]
+        self._changing.add(name)
+        return [AddStore(name)]
 
     # Members
 
-    def joined(self, now: float, name: str, said: dict) -> list[Effect]:
-        """A process takes its place: `said` has birth, role, zone, node, control, whole, leaving and view,
-        and of a store the workers that it knows to have departed."""
-        old = self.members.get(name)
-        out: list[Effect] = []
-        if old is not None and old.birth != said["birth"]:
-            out += self._gone(now, name, "another life of it has come")
-        self.members.pop(name, None)  # what is told meanwhile is in its snapshot
-        out += self.registry.learn(now, said.get("departed") or {})
-        member = Member(
-            said["birth"],
-            said["role"],
-            said["zone"],
-            said["node"],
-            said.get("control") or "",
-            now + LEASE,
-            leaving=bool(said.get("leaving")),
-            # One that does not stand in the record holds nothing that anyone counts on.
-            whole=bool(said.get("whole", True)) or name not in self.roster,
+    def joined(self, now: float, name: str, request: JoinRequest) -> list[Effect]:
+        """A process becomes a member."""
+        before = self.members.pop(name, None)  # what is sent meanwhile is in its snapshot
+        effects: list[Effect] = []
+        if before is not None and before.incarnation != request.incarnation:
+            effects.append(_member_gone(before, "another incarnation of it has come"))
+        effects += self.registry.learn(now, request.departed)
+        member = self._new_member(now, name, request, before)
+        self.members[name] = member
+        self._ended.discard(name)
+        self._zones |= request.view.zones
+        if self._newest_view is None or request.view.number > self._newest_view.number:
+            self._newest_view = request.view
+        effects += self._add_to_roster(name, member)
+        member.sent = self.update_number
+        effects.append(SendUpdate(name, self._snapshot(member)))
+        fields = {"member": member.node, "birth": member.incarnation, "role": member.role}
+        effects.append(LogEvent("member_joined", fields))
+        return effects + self._assign_shards(now)
+
+    def _new_member(self, now: float, name: str, request: JoinRequest, before: Member | None) -> Member:
+        is_same = before is not None and before.incarnation == request.incarnation
+        return Member(
+            request.incarnation,
+            request.role,
+            request.zone,
+            request.node,
+            request.control,
+            now + LEASE_MS,
+            leaving=request.leaving,
+            # One that does not stand in the roster holds nothing that anyone counts on.
+            complete=request.complete or name not in self.roster,
             registered=name in self.roster,
-            empty=bool(said.get("empty")),
-            full=bool(said.get("full")),
-            audits=old.audits if old is not None and old.birth == said["birth"] else {},
+            empty=request.empty,
+            full=request.full,
+            audits=before.audits if before is not None and is_same else {},
         )
-        self.members[name] = member
-        self._over.discard(name)
-        if (held := said.get("view")) is not None:
-            seen = msgspec.convert(held, View)
-            self._zones |= seen.zones
-            if self._best is None or seen.number > self._best.number:
-                self._best = seen
-        out += self._enter(name, member)
-        member.sent = self.number
-        out.append(News(name, self._snapshot(member)))
-        out.append(Said("member_joined", {"member": member.node, "birth": member.birth, "role": member.role}))
-        return out + self._steer(now)
-
-    def _snapshot(self, member: Member) -> dict:
-        word: dict[str, Any] = {"op": "news", "term": self.term, "n": self.number, "whole": True}
-        if self.config is not None:
-            word["config"] = self.config
-        if self._warm:
-            word["view"] = msgspec.to_builtins(self.view)
-        if member.role == "store":
-            word["workers"] = [msgspec.to_builtins(worker) for worker in self.workers.values()]
-        return word
-
-    def renewed(self, now: float, name: str, said: dict) -> bool:
+
+    def _snapshot(self, member: Member) -> Update:
+        return Update(
+            term=self.term,
+            number=self.update_number,
+            snapshot=True,
+            config=self.config,
+            view=self.view if self._old_leases_ended else None,
+            workers=list(self.workers.values()) if member.role == "store" else None,
+        )
+
+    def renewed(self, now: float, name: str, request: RenewRequest) -> bool:
         """Whether it is a member still; else it must join again. True prolongs its lease from now on."""
         member = self.members.get(name)
-        if member is None or member.birth != said["birth"] or now > member.until or not self.fresh(now):
+        if member is None or member.incarnation != request.incarnation:
             return False
-        member.until = now + LEASE
-        member.audits = said.get("audits") or {}
-        member.safe = max(member.safe, tuple(said.get("safe") or (0, 0)))
-        member.full = bool(said.get("full"))
-        member.spares = max(member.spares, tuple(said.get("spares") or (0, 0)))
-        if said.get("leaving"):
-            member.leaving = True
+        if now > member.lease_until or not self.majority_is_recent(now):
+            return False
+        member.lease_until = now + LEASE_MS
+        member.audits = request.audits
+        member.full = request.full
+        member.leaving = member.leaving or request.leaving
+        member.safe = max(member.safe, request.safe)
+        member.safe_without_leaving = max(member.safe_without_leaving, request.safe_without_leaving)
         return True
 
-    def over(self, now: float, name: str) -> list[Effect]:
+    def process_ended(self, now: float, name: str) -> list[Effect]:
         """Proof that the process of that name has ended: its port refuses."""
         if not self.leads:
             return []
-        self._over.add(name)
-        out = self._gone(now, name, "its port refuses") if name in self.members else []
-        return out + self._steer(now)
+        self._ended.add(name)
+        effects = self._remove_member(name, "its port refuses") if name in self.members else []
+        return effects + self._assign_shards(now)
 
-    def _gone(self, now: float, name: str, why: str) -> list[Effect]:
-        member = self.members.pop(name)
-        return [Said("member_gone", {"member": member.node, "birth": member.birth, "why": why})]
+    def _remove_member(self, name: str, why: str) -> list[Effect]:
+        return [_member_gone(self.members.pop(name), why)]
 
-    def acked(self, now: float, name: str, birth: str, number: int) -> list[Effect]:
+    def acknowledged(self, now: float, name: str, incarnation: str, update_number: int) -> list[Effect]:
+        """A member has applied all updates up to that one."""
         member = self.members.get(name)
-        if member is None or member.birth != birth or number <= member.acked:
+        if member is None or member.incarnation != incarnation or update_number <= member.acknowledged:
             return []
-        member.acked = number
-        return self._steer(now) + self._served(now)
+        member.acknowledged = update_number
+        return self._assign_shards(now) + self._end_waits(now)
 
     def tick(self, now: float) -> list[Effect]:
+        """What time brings: leases and workers that run out, waits that are over."""
         if not self.leads:
             return []
-        if not self.fresh(now):  # cut off, it took everyone for gone and told all clients' edges so
-            return self._served(now)
-        out: list[Effect] = []
-        for name in [name for name, member in self.members.items() if now > member.until]:
-            out += self._gone(now, name, "its lease ran out")
-        out += self.registry.tick(now)
-        return out + self._steer(now) + self._strike(now) + self._served(now)
-
-    def _strike(self, now: float) -> list[Effect]:
+        if not self.majority_is_recent(now):  # cut off, it would take all members for gone
+            return self._end_waits(now)
+        effects: list[Effect] = []
+        for name in [name for name, member in self.members.items() if now > member.lease_until]:
+            effects += self._remove_member(name, "its lease ran out")
+        effects += self.registry.tick(now)
+        return effects + self._assign_shards(now) + self._remove_from_roster(now) + self._end_waits(now)
+
+    def _remove_from_roster(self, now: float) -> list[Effect]:
         """A store that is away for long or to be emptied, once all that it holds is safe without it."""
         self._departures.see(now, self.view, self.roster)
         if "" in self.view.owners:
             return []
         owners = [self.members.get(owner) for owner in set(self.view.owners)]
         safe = min(owner.safe if owner else (0, 0) for owner in owners)
-        self._departures.told(safe, min(owner.spares if owner else (0, 0) for owner in owners))
-        if not self._warm:
+        without_leaving = min(owner.safe_without_leaving if owner else (0, 0) for owner in owners)
+        self._departures.told(safe, without_leaving)
+        if not self._old_leases_ended:
             return []
         emptied = {name: self.members[name].safe if name in self.members else None for name in self.retiring}
         for name in self._departures.over(now, emptied):
-            if name not in self._proposed:
-                self._proposed.add(name)
-                return [Strike(name)]
+            if name not in self._changing:
+                self._changing.add(name)
+                return [RemoveStore(name)]
         return []
 
-    def struck(self, name: str) -> None:
-        """The record has it, or not; it is proposed again where it must be."""
-        self._proposed.discard(name)
+    def roster_change_ended(self, name: str) -> None:
+        """The store has been added or removed, or not; it is tried again where it must be."""
+        self._changing.discard(name)
 
-    def needless(self, name: str) -> bool:
-        """Whether the store is to be struck no more: it has come back."""
+    def has_returned(self, name: str) -> bool:
+        """Whether the store is to stay in the roster after all."""
         return name in self.members and name not in self.retiring
 
     # Waiting for what members have applied
 
     def wait(
-        self, now: float, number: int, roles: tuple[str, ...], settled: bool = False
+        self, now: float, update_number: int, roles: tuple[str, ...], after_old_leases: bool = False
     ) -> tuple[int, list[Effect]]:
-        """A token, Done once all present members of those roles have applied news `number`. `settled`: and
-        once no store that is no member yet can hold a lease of an earlier leader."""
-        self._token += 1
+        """A token; WaitEnded comes once all present members of those roles have applied that update, and with
+        `after_old_leases` once no store that is no member yet can hold a lease of an earlier leader."""
+        self._last_token += 1
         names = {name for name, member in self.members.items() if member.role in roles}
-        self._waits.append(_Wait(self._token, number, names, now + APPLIED, settled))
-        return self._token, self._served(now)
+        until = now + APPLY_WAIT_MS
+        self._waits.append(_Wait(self._last_token, update_number, names, until, after_old_leases))
+        return self._last_token, self._end_waits(now)
 
-    def _served(self, now: float) -> list[Effect]:
-        out: list[Effect] = []
-        left = []
+    def _end_waits(self, now: float) -> list[Effect]:
+        effects: list[Effect] = []
+        remaining = []
         for wait in self._waits:
-            behind = [
-                name
-                for name in wait.names
-                if (member := self.members.get(name)) is not None and member.acked < wait.number
-            ]
-            done = not behind and (self._warm or not wait.settled)
-            if done or now >= wait.until:
-                out.append(Done(wait.token, done))
+            is_done = self._is_applied(wait) and (self._old_leases_ended or not wait.after_old_leases)
+            if is_done or now >= wait.until:
+                effects.append(WaitEnded(wait.token, is_done))
             else:
-                left.append(wait)
-        self._waits = left
-        return out
+                remaining.append(wait)
+        self._waits = remaining
+        return effects
+
+    def _is_applied(self, wait: _Wait) -> bool:
+        members = [self.members[name] for name in wait.names if name in self.members]
+        return all(member.acknowledged >= wait.update_number for member in members)
 
-    # News
+    # Updates
 
-    def _tell(self, word: dict, roles: tuple[str, ...] = ("edge", "store")) -> list[Effect]:
-        self.number += 1
-        out: list[Effect] = []
+    def _broadcast(self, roles: tuple[str, ...] = ALL_ROLES, **content: Any) -> list[Effect]:
+        """An update with that content (fields of `protocol.Update`) to all members of these roles."""
+        self.update_number += 1
+        effects: list[Effect] = []
         for name, member in self.members.items():
-            if member.role in roles:
-                out.append(
-                    News(
-                        name, word | {"op": "news", "term": self.term, "n": self.number, "prev": member.sent}
-                    )
-                )
-                member.sent = self.number
-        return out
-
-    def configured(self, now: float, config: dict) -> list[Effect]:
-        """The operator's word as it stands now: `revision` and `doc`."""
-        if self.config is not None and self.config["revision"] == config["revision"]:
+            if member.role not in roles:
+                continue
+            update = Update(term=self.term, number=self.update_number, previous=member.sent, **content)
+            effects.append(SendUpdate(name, update))
+            member.sent = self.update_number
+        return effects
+
+    def _broadcast_worker_change(self, change: WorkerChange) -> tuple[int, list[Effect]]:
+        if isinstance(change, WorkerListed):
+            effects = self._broadcast(STORES, worker=change.worker)
+        else:
+            effects = self._broadcast(STORES, removed_worker=change.id, worker_left=change.left)
+        return self.update_number, effects
+
+    def configuration_changed(self, now: float, config: ConfigurationVersion) -> list[Effect]:
+        """The operator's configuration as it is in force now."""
+        if self.config is not None and self.config.revision == config.revision:
             return []
         self.config = config
         if not self.leads:
             return []
-        return [
-            *self._tell({"config": config}),
-            Said("config_told", {"revision": config["revision"], "n": self.number}),
-        ]
+        effects = self._broadcast(config=config)
+        return [*effects, LogEvent("config_told", {"revision": config.revision, "n": self.update_number})]
 
     # Whose each shard is
 
-    def _steer(self, now: float) -> list[Effect]:
+    def _assign_shards(self, now: float) -> list[Effect]:
         """The next view, where something is to change and may."""
-        if not self.fresh(now):
+        if not self.majority_is_recent(now) or not self._may_assign(now):
+            return []
+        number = self._next_view_number()
+        assignment = self._assignment(number)
+        live_stores = self._live_stores()
+        view, spared = self.view, self._departures.spared
+        is_same = live_stores == view.live_stores and self.roster == view.roster and spared == view.spared
+        if is_same and not assignment.changed:
             return []
-        if not self._warm:
-            known = set(self.roster)
-            pending = [name for name in known if name not in self.members and name not in self._over]
-            if not known or (pending and now < self._may_move_at):
-                return []
-            self._warm = True
-            self._adopt(now)
-        # One that was struck off just as it came back may act on a shard still: it is asked to let go first.
-        lives = {name: one for name, one in self.members.items() if one.role == "store"}
-        stores = {name: one for name, one in lives.items() if one.registered}
+        self.view = View(
+            number,
+            assignment.owners,
+            assignment.incarnations,
+            assignment.epochs,
+            live_stores,
+            list(self.roster),
+            self._zones_of_roster(live_stores),
+            spared,
+        )
+        self._departures.see(now, self.view, self.roster, made=True)
+        effects = self._broadcast(view=self.view)
+        owners = self.view.owners
+        counts = {self.members[name].node: owners.count(name) for name in live_stores}
+        fields = {"number": number, "n": self.update_number, "shards": counts, "free": owners.count("")}
+        return [*effects, LogEvent("view", fields)]
+
+    def _may_assign(self, now: float) -> bool:
+        """Not before no store can act under a lease of an earlier leader; then from the newest view on."""
+        if self._old_leases_ended:
+            return True
+        is_awaited = any(name not in self.members and name not in self._ended for name in self.roster)
+        if not self.roster or (is_awaited and now < self._old_leases_until):
+            return False
+        self._old_leases_ended = True
+        self._adopt_newest_view(now)
+        return True
+
+    def _next_view_number(self) -> Number:
+        term, count = self.view.number
+        return (self.term, count + 1 if term == self.term else 1)
+
+    def _assignment(self, number: Number) -> "_Assignment":
+        """Who owns each shard next. A shard changes hands by way of a view in which it is nobody's."""
+        # One that was removed from the roster just as it came back may act on a shard still: it is asked to
+        # let go first.
+        lives = {name: member for name, member in self.members.items() if member.role == "store"}
+        targets = self._target_owners()
         view = self.view
-        owners, births, epochs = list(view.owners), list(view.births), list(view.epochs)
-        able = sorted(
-            name
-            for name, one in stores.items()
-            if not one.leaving and name not in self.retiring and self._is_whole(name)
+        next_view = _Assignment(
+            list(view.owners), list(view.incarnations), list(view.epochs), view.number[0] != self.term
         )
-        target = shares(owners, [name for name in able if not stores[name].full] or able)
-        number = (self.term, view.number[1] + 1 if view.number[0] == self.term else 1)
-        changed = view.number[0] != self.term
-        for at in range(SHARDS):
-            owner, want = owners[at], target[at]
+        for shard in range(SHARDS):
+            owner, target = view.owners[shard], targets[shard]
             if owner:
-                live = owner in lives and lives[owner].birth == births[at]
-                if live and owner == want:
+                is_live = owner in lives and lives[owner].incarnation == view.incarnations[shard]
+                if is_live and owner == target:
                     continue
-                owners[at] = births[at] = ""
-                changed = True
-                if live:
-                    self._holders[at] = owner, self.number + 1
+                next_view.release(shard)
+                if is_live:
+                    self._awaited_releases[shard] = owner, self.update_number + 1
                     continue
-            if self._held(at, lives) or not want:
-                continue
-            self._holders.pop(at, None)
-            owners[at], births[at], epochs[at] = want, stores[want].birth, number
-            changed = True
-        live_stores = {
+            if target and not self._is_held(shard, lives):
+                self._awaited_releases.pop(shard, None)
+                next_view.assign(shard, target, self.members[target].incarnation, number)
+        return next_view
+
+    def _target_owners(self) -> list[str]:
+        stores = {name: member for name, member in self.members.items() if self._is_registered_store(member)}
+        able = sorted(
+            name
+            for name, member in stores.items()
+            if not member.leaving and name not in self.retiring and self._is_complete(name)
+        )
+        with_room = [name for name in able if not stores[name].full]
+        return shares(self.view.owners, with_room or able)
+
+    @staticmethod
+    def _is_registered_store(member: Member) -> bool:
+        return member.role == "store" and member.registered
+
+    def _live_stores(self) -> dict[str, StoreInfo]:
+        return {
             name: StoreInfo(
-                one.birth,
-                one.zone,
-                one.node,
-                one.control,
-                one.leaving,
-                self._is_whole(name),
-                one.empty,
+                member.incarnation,
+                member.zone,
+                member.node,
+                member.control,
+                member.leaving,
+                self._is_complete(name),
+                member.empty,
                 name in self.retiring,
-                one.full,
+                member.full,
             )
-            for name, one in sorted(stores.items())
+            for name, member in sorted(self.members.items())
+            if self._is_registered_store(member)
         }
-        spared = self._departures.spared
-        same = live_stores == view.live_stores and self.roster == view.roster and spared == view.spared
-        if same and not changed:
-            return []
-        zones = self._zones | view.zones | {name: store_info.zone for name, store_info in live_stores.items()}
-        zones = {name: zone for name, zone in zones.items() if name in self.roster}
-        self.view = View(number, owners, births, epochs, live_stores, list(self.roster), zones, spared)
-        self._departures.see(now, self.view, self.roster, made=True)
-        out = self._tell({"view": msgspec.to_builtins(self.view)})
-        free = sum(not owner for owner in owners)
-        counts = {one.node: owners.count(name) for name, one in stores.items()}
-        return [*out, Said("view", {"number": number, "n": self.number, "shards": counts, "free": free})]
 
-    def _adopt(self, now: float) -> None:
+    def _zones_of_roster(self, live_stores: dict[str, StoreInfo]) -> dict[str, str]:
+        zones = self._zones | self.view.zones | {name: store.zone for name, store in live_stores.items()}
+        return {name: zone for name, zone in zones.items() if name in self.roster}
+
+    def _adopt_newest_view(self, now: float) -> None:
         """The newest view that anyone has applied is what this lead begins with."""
-        best = self._best if self._best is not None and self._best.number > self.view.number else self.view
+        newest = self.view
+        if self._newest_view is not None and self._newest_view.number > newest.number:
+            newest = self._newest_view
         # Of a shard that was being moved the old owner may not have heard yet: all must have heard first.
-        self._holders = {at: ("", self.number + 1) for at, owner in enumerate(best.owners) if not owner}
-        self.view = best
-        self._departures.see(now, best, self.roster)
+        next_update = self.update_number + 1
+        self._awaited_releases = {
+            shard: ("", next_update) for shard, owner in enumerate(newest.owners) if not owner
+        }
+        self.view = newest
+        self._departures.see(now, newest, self.roster)
 
-    def _held(self, at: int, lives: dict[str, Member]) -> bool:
+    def _is_held(self, shard: int, lives: dict[str, Member]) -> bool:
         """Whether someone may still act on a shard that is nobody's by the last view."""
-        if at not in self._holders:
+        if shard not in self._awaited_releases:
             return False
-        name, number = self._holders[at]
+        name, update_number = self._awaited_releases[shard]
         if name:
-            return name in lives and lives[name].acked < number
-        return any(one.acked < number for one in lives.values())
+            return name in lives and lives[name].acknowledged < update_number
+        return any(member.acknowledged < update_number for member in lives.values())
 
-    def _is_whole(self, name: str) -> bool:
-        """A store whose folder was lost counts once every owner has compared it and has its own messages
+    def _is_complete(self, name: str) -> bool:
+        """A store whose disk was lost counts once every owner has compared it and has its own messages
         safe."""
         member = self.members[name]
-        if member.whole:
+        if member.complete:
             return True
         owners = {owner for owner in self.view.owners if owner}
         if "" in self.view.owners or not owners:
             # Nobody owns anything yet: on the very first start none has a past.
             return False
-        if all(
-            owner == name or (owner in self.members and self.members[owner].audits.get(name) == member.birth)
-            for owner in owners
-        ):
-            member.whole = True
-        return member.whole
+        member.complete = all(
+            owner == name or self._has_audited(owner, name, member.incarnation) for owner in owners
+        )
+        return member.complete
+
+    def _has_audited(self, owner: str, name: str, incarnation: str) -> bool:
+        return owner in self.members and self.members[owner].audits.get(name) == incarnation
 
     # Workers
 
-    def beat(self, now: float, line: Worker) -> tuple[int, list[Effect]]:
-        """A worker's call. The news that stores must have applied before it is acknowledged; 0 for none."""
-        return self.registry.beat(now, line)
+    def worker_heartbeat(self, now: float, entry: Worker) -> tuple[int, list[Effect]]:
+        """A worker's call. The update that stores must have applied before it is acknowledged; 0 for none."""
+        return self.registry.heartbeat(now, entry)
 
-    def left(self, now: float, id: str) -> tuple[int, list[Effect]]:
-        """A worker's last call. The news that stores must have applied before it is acknowledged."""
+    def worker_left(self, now: float, id: str) -> tuple[int, list[Effect]]:
+        """A worker's last call. The update that stores must have applied before it is acknowledged."""
         return self.registry.left(now, id)
 
-    def _tell_stores(self, word: dict) -> tuple[int, list[Effect]]:
-        effects = self._tell(word, ("store",))
-        return self.number, effects
+
+class _Assignment(msgspec.Struct):
+    """The shards' owners in the next view."""
+
+    owners: list[str]
+    incarnations: list[str]
+    epochs: list[Number]
+    changed: bool
+
+    def release(self, shard: int) -> None:
+        self.owners[shard] = self.incarnations[shard] = ""
+        self.changed = True
+
+    def assign(self, shard: int, owner: str, incarnation: str, epoch: Number) -> None:
+        self.owners[shard], self.incarnations[shard], self.epochs[shard] = owner, incarnation, epoch
+        self.changed = True
+
+
+def _member_gone(member: Member, why: str) -> LogEvent:
+    fields = {"member": member.node, "birth": member.incarnation, "why": why}
+    return LogEvent("member_gone", fields)
--- a/sableford/control/effects.py
+++ b/sableford/control/effects.py
@@ -1,37 +1,41 @@
 """What the coordinator and its parts decide; the control service carries it out."""
 
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
+from sableford.control.protocol import Update
 
-class News(NamedTuple):
-    """To one member, down its line: what changed, or a snapshot of all."""
 
-    to: str
-    word: dict
+class SendUpdate(NamedTuple):
+    """To one member, on its link."""
 
+    member: str
+    update: Update
 
-class Register(NamedTuple):
-    """The store is to stand in the record before it holds anything."""
+
+class AddStore(NamedTuple):
+    """The store is to be added to the roster before it holds anything."""
 
     name: str
 
 
-class Strike(NamedTuple):
-    """The store is to stand in the record no more: whatever it holds is safe without it."""
+class RemoveStore(NamedTuple):
+    """The store is to be removed from the roster: whatever it holds is safe without it."""
 
     name: str
 
 
-class Done(NamedTuple):
+class WaitEnded(NamedTuple):
     """What `token` waited for has been applied by all who must, or can be waited for no longer."""
 
     token: int
-    all: bool
+    all_applied: bool
+
 
+class LogEvent(NamedTuple):
+    """For the log."""
 
-class Said(NamedTuple):
     event: str
-    facts: dict
+    fields: dict[str, Any]
 
 
-Effect = News | Register | Strike | Done | Said
+Effect = SendUpdate | AddStore | RemoveStore | WaitEnded | LogEvent
--- a/sableford/control/member_client.py
+++ b/sableford/control/member_client.py
@@ -1,8 +1,8 @@
-"""A member's side: it finds the leader, holds a lease there by renewing it, and applies the news pushed
-down its line.
+"""A member's side: it finds the leader, holds a lease there by renewing it, and applies the updates that come
+on its link.
 
-Who is behind gets a snapshot, then changes; a gap between two pieces of news means joining anew. Within one
-life neither a view nor a configuration goes back.
+Who is behind gets a snapshot, then changes; a gap between two updates means joining anew. Within one
+incarnation neither a view nor a configuration goes back.
 
 A member whose lease ran out may have lost its shards meanwhile. The lease that it is granted when it joins
 again is in force only once it has applied a view that this leader sent after that join (a fence).
@@ -11,146 +11,203 @@
 import asyncio
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import TypeVar
 
-import msgspec
-
-from sableford.control.coordinator import FRESH, LEASE, RENEW
+from sableford.common.log import EventLog
+from sableford.control.protocol import (
+    ConfigurationVersion,
+    JoinRequest,
+    JoinResponse,
+    MemberStatus,
+    RenewRequest,
+    Update,
+    UpdateAcknowledgement,
+    with_status,
+)
+from sableford.control.timing import LEASE_MS, QUORUM_FRESH_MS, RENEW_MS
 from sableford.control.view import View
 from sableford.control.workers import Worker, WorkerTable
-from sableford.transport.links import Broken, Link, LinkPool
+from sableford.transport.errors import CallError
+from sableford.transport.link import Link
+from sableford.transport.link_pool import LinkPool
+from sableford.transport.messages import PeerRequest, PeerResponse
+
+FIND_INTERVAL_MS = 40.0  # between two attempts to find the leader
+MAX_HINTS = 4  # leaders remembered that others have named
+MAX_HOPS = 2  # hints followed at once: two members may each name the other as the leader of long ago
+ANSWER_TIMEOUT_MS = 400.0  # for the leader's answer; then it is looked for anew
 
-LOOK = 40.0  # ms between two tries to find the leader
-HINTS = 4  # leaders remembered that others have named
-HOPS = 2  # hints followed at once: two members may each name the other as the leader of long ago
-ANSWER = 400.0  # ms for its answer to a renewal; then it is looked for anew
+ResponseType = TypeVar("ResponseType", bound=PeerResponse)
 
 
 def configuration_until(lease: float, apply_ms: float) -> float:
     """Until when a member whose lease runs out at `lease` may act on the configuration that it has, so that
     none acts on an old one later than `apply_ms` after the acknowledgement of a newer one.
 
-    The lease was granted in answer to a renewal sent LEASE before its end. No newer configuration had been
-    told on that line by then, or this member would have applied it first, since the line keeps the order. An
-    earlier leader, which does not know of a newer one, grants for FRESH at most after the next one has won.
-    So the newer one was acknowledged no sooner than FRESH before the renewal was sent. With an `apply_ms`
-    under LEASE + FRESH that is before the lease runs out.
+    The lease was granted in answer to a renewal sent LEASE_MS before its end. No newer configuration had been
+    sent on that link by then, or this member would have applied it first, since the link keeps the order. An
+    earlier leader, which does not know of a newer one, grants for QUORUM_FRESH_MS at most after the next one
+    has won. So the newer one was acknowledged no sooner than QUORUM_FRESH_MS before the renewal was sent.
+    With
+    an `apply_ms` under LEASE_MS + QUORUM_FRESH_MS that is before the lease runs out.
 
     >>> configuration_until(1000.0, 3000.0), configuration_until(1000.0, 900.0)
     (2700.0, 600.0)
     """
-    return lease - LEASE - FRESH + apply_ms
+    return lease - LEASE_MS - QUORUM_FRESH_MS + apply_ms
 
 
 class MemberClient:
-    """`on_view(view)`, `on_config(config)`, `on_workers()` and `on_lease(until)` are called as news come;
-    lists of stores to reach come from views and from the seeds."""
+    """`on_view(view)`, `on_config(configuration)`, `on_worker(id)`, with None for all workers,
+    `on_lease(until)` and `on_joined(response)` are called as updates come. Which processes to reach comes
+    from
+    views and from the seeds.
+
+    `status` gives what this process says of itself."""
 
     def __init__(
-        self, links: LinkPool, me: str, about: Callable[[], dict], seeds: Callable[[], list[str]], log: Any
+        self,
+        links: LinkPool,
+        me: str,
+        status: Callable[[], MemberStatus],
+        seeds: Callable[[], list[str]],
+        log: EventLog,
     ) -> None:
-        self.links, self.me, self._about, self._seeds, self._log = links, me, about, seeds, log
+        self.links, self.me, self._status, self._seeds, self._log = links, me, status, seeds, log
         self.view = View()
-        self.config: dict | None = None
+        self.config: ConfigurationVersion | None = None
         self.worker_table = WorkerTable()
         self.lease = 0.0  # ms of the loop's clock: until when this process may act
-        self._granted = 0.0  # until when the leader counts it as a member: `lease`, once that is in force
+        self._granted_until = 0.0  # until when the leader counts it as a member: `lease`, once in force
         self._lapsed = True  # the lease ran out before the last join
-        self._join_sent, self._join_term = 0.0, 0
-        self._view_heard, self._view_term = -1.0, 0  # when a leader's view came last, and of which term
-        self.leader, self.term, self.number = "", 0, 0
-        self.changed = asyncio.Event()  # set and cleared at each view
-        self.on_view: list[Callable] = []
-        self.on_config: list[Callable] = []
-        self.on_worker: list[Callable] = []
-        self.on_lease: list[Callable] = []
-        self.on_joined: list[Callable] = []
-        self.kept: Callable[[], set[str]] = set  # others that the own disk knows of
+        self._join_sent_at, self._join_term = 0.0, 0
+        self._view_heard_at, self._view_term = -1.0, 0  # when a leader's view came last, and of which term
+        self.leader, self.term, self.update_number = "", 0, 0
+        self.changed = asyncio.Event()  # set and replaced at each view
+        self.on_view: list[Callable[[View], object]] = []
+        self.on_config: list[Callable[[ConfigurationVersion], object]] = []
+        self.on_worker: list[Callable[[str | None], object]] = []
+        self.on_lease: list[Callable[[float], object]] = []
+        self.on_joined: list[Callable[[JoinResponse], object]] = []
+        self.peers_on_disk: Callable[[], set[str]] = set  # others that the own disk knows of
         self._hint = ""
-        self._hints: deque[str] = deque(maxlen=HINTS)  # leaders that were named; no seed may be one
-        self._line: Link | None = None
+        self._hints: deque[str] = deque(maxlen=MAX_HINTS)  # leaders that were named; no seed may be one
+        self._leader_link: Link | None = None
         self._loop = asyncio.get_running_loop()
         self._turn = 0
 
     def now(self) -> float:
+        """ms of the loop's clock."""
         return self._loop.time() * 1000.0
 
     @property
     def workers(self) -> dict[str, Worker]:
-        return self.worker_table.lines
+        """The workers that are listed, by id."""
+        return self.worker_table.entries
 
-    def valid(self) -> bool:
+    def holds_lease(self) -> bool:
+        """Whether this process may act as a member."""
         return self.now() < self.lease
 
     async def run(self) -> None:
         """For the life of the process."""
-        self._want()
+        self._update_peers()
         while True:
-            await self._find()
-            await self._stay()
+            await self.find_leader()
+            await self._renew_lease()
 
-    def _want(self) -> None:
-        told = {*self.view.roster, *self.view.live_stores, self.leader, *self._hints}
-        self.links.want({*self._seeds(), *told, *self.kept()} - {""})
+    # Finding the leader
 
-    async def _find(self) -> None:
+    def _update_peers(self) -> None:
+        known = {*self.view.roster, *self.view.live_stores, self.leader, *self._hints}
+        self.links.set_peers({*self._seeds(), *known, *self.peers_on_disk()} - {""})
+
+    async def find_leader(self) -> None:
+        """Until a leader has accepted this process as a member."""
         hops = 0
         while True:
-            self._want()
-            names = [name for name in self.links.names() if self.links.near(name)]
-            if self._hint in names:
-                name, self._hint = self._hint, ""
-            elif names:
-                self._turn += 1
-                name = sorted(names)[self._turn % len(names)]
-            else:
-                await asyncio.sleep(LOOK / 1000.0)
+            self._update_peers()
+            name = self._next_candidate()
+            if not name:
+                await asyncio.sleep(FIND_INTERVAL_MS / 1000.0)
                 continue
-            link, sent = self.links.near(name), self.now()
-            self._join_sent, self._join_term = sent, 0
-            self._lapsed = self._lapsed or sent >= self.lease
-            said = self._about() | {"op": "join", "view": msgspec.to_builtins(self.view), "least": self.term}
-            said["departed"] = self.worker_table.departures(sent)
-            word = await self._asked(link, said)
-            if word is not None and word.get("ok"):
-                self._line, self.leader = link, name
-                self._join_term = word["term"]
-                self._extend(sent)
-                for tell in self.on_joined:
-                    tell(word)
-                self._log.say("joined", leader=name, term=word["term"])
+            response = await self._join(name)
+            if response is not None and response.accepted:
                 return
-            self._hint = (word or {}).get("leader") or ""
-            if self._hint and self._hint not in self._hints:
-                self._hints.append(self._hint)
+            self._note_hint(response)
             hops += 1
-            if self._hint == name or not self._hint or hops > HOPS:
+            if self._hint == name or not self._hint or hops > MAX_HOPS:
                 hops = 0
-                await asyncio.sleep(LOOK / 1000.0)
+                await asyncio.sleep(FIND_INTERVAL_MS / 1000.0)
+
+    def _next_candidate(self) -> str:
+        """The leader that was named last, else one after the other; none where nobody answers."""
+        names = [name for name in self.links.names() if self.links.responsive_link(name)]
+        if self._hint in names:
+            hint, self._hint = self._hint, ""
+            return hint
+        if not names:
+            return ""
+        self._turn += 1
+        return sorted(names)[self._turn % len(names)]
 
-    async def _stay(self) -> None:
+    async def _join(self, name: str) -> JoinResponse | None:
+        """Asks one process; None where it did not answer."""
+        link, sent_at = self.links.responsive_link(name), self.now()
+        self._join_sent_at, self._join_term = sent_at, 0
+        self._lapsed = self._lapsed or sent_at >= self.lease
+        request: JoinRequest = with_status(
+            JoinRequest,
+            self._status(),
+            view=self.view,
+            least_term=self.term,
+            departed=self.worker_table.departures(sent_at),
+        )
+        response = await self._call(link, request)
+        if response is None or not response.accepted:
+            return response
+        self._leader_link, self.leader = link, name
+        self._join_term = response.term
+        self._extend_lease(sent_at)
+        for notify in self.on_joined:
+            notify(response)
+        self._log.event("joined", leader=name, term=response.term)
+        return response
+
+    def _note_hint(self, response: JoinResponse | None) -> None:
+        self._hint = response.leader if response is not None else ""
+        if self._hint and self._hint not in self._hints:
+            self._hints.append(self._hint)
+
+    # The lease
+
+    async def _renew_lease(self) -> None:
+        """Until the leader does not answer, or does not lead any more."""
         while True:
-            await asyncio.sleep(RENEW / 1000.0)
-            sent = self.now()
-            word = await self._asked(
-                self._line, self._about() | {"op": "renew", "n": self.number, "term": self.term}
-            )
-            if word is None or not word.get("ok"):
-                self._hint = (word or {}).get("leader") or self._hint
-                self._log.say("left_leader", leader=self.leader, answered=word is not None)
-                self.leader, self._line = "", None
+            await asyncio.sleep(RENEW_MS / 1000.0)
+            sent_at = self.now()
+            response = await self._call(self._leader_link, self._renewal())
+            if response is None or not response.accepted:
+                self._hint = (response.leader if response is not None else "") or self._hint
+                self._log.event("left_leader", leader=self.leader, answered=response is not None)
+                self.leader, self._leader_link = "", None
                 return
-            self._extend(sent)
+            self._extend_lease(sent_at)
+
+    def _renewal(self) -> RenewRequest:
+        renewal: RenewRequest = with_status(
+            RenewRequest, self._status(), update_number=self.update_number, term=self.term
+        )
+        return renewal
 
     def renew_now(self) -> None:
         """Something of what this process says of itself has changed."""
-        if self._line is not None and not self._line.closed:
-            self._line.ask(
-                self._about() | {"op": "renew", "n": self.number, "term": self.term}
-            ).add_done_callback(lambda future: future.exception())
+        if self._leader_link is not None and not self._leader_link.closed:
+            future = self._leader_link.request(self._renewal())
+            future.add_done_callback(lambda done: done.exception())
 
-    def _extend(self, sent: float) -> None:
-        self._granted = max(self._granted, sent + LEASE)
+    def _extend_lease(self, sent_at: float) -> None:
+        self._granted_until = max(self._granted_until, sent_at + LEASE_MS)
         self._put_lease_in_force()
 
     def _put_lease_in_force(self) -> None:
@@ -158,63 +215,80 @@
         if self._lapsed and not self._has_current_view():
             return
         self._lapsed = False
-        if self._granted <= self.lease:
+        if self._granted_until <= self.lease:
             return
-        self.lease = self._granted
-        for tell in self.on_lease:
-            tell(self.lease)
+        self.lease = self._granted_until
+        for notify in self.on_lease:
+            notify(self.lease)
 
     def _has_current_view(self) -> bool:
-        joined = self._join_term > 0
-        return joined and self._view_heard >= self._join_sent and self._view_term >= self._join_term
+        has_joined = self._join_term > 0
+        is_heard = self._view_heard_at >= self._join_sent_at
+        return has_joined and is_heard and self._view_term >= self._join_term
 
-    async def _asked(self, link: Link | None, word: dict) -> dict | None:
+    async def _call(self, link: Link | None, request: PeerRequest[ResponseType]) -> ResponseType | None:
         if link is None:
             return None
         try:
-            async with asyncio.timeout(ANSWER / 1000.0):
-                head, _ = await link.ask(word)
-                return head
-        except (Broken, TimeoutError):
+            async with asyncio.timeout(ANSWER_TIMEOUT_MS / 1000.0):
+                return (await link.request(request)).message
+        except (CallError, TimeoutError):
             return None
 
-    def news(self, link: Link, word: dict) -> None:
-        """Down the line of the leader that this process has joined, or is joining."""
-        term, number = word["term"], word["n"]
-        if term < self.term or (term == self.term and number <= self.number and not word.get("whole")):
+    # Updates
+
+    def apply_update(self, link: Link, update: Update) -> None:
+        """On the link of the leader that this process has joined, or is joining."""
+        if not self._is_newer(update):
             return
-        if not word.get("whole") and (term != self.term or word["prev"] != self.number):
-            self._log.say("news_gap", had=self.number, n=number, prev=word["prev"])
+        if not update.snapshot and (update.term, update.previous) != (self.term, self.update_number):
+            self._log.event("news_gap", had=self.update_number, n=update.number, prev=update.previous)
             self.leader = ""
             link.drop()  # joined anew, it gets a snapshot
             return
-        self.term, self.number = term, number
-        config = word.get("config")
-        if config is not None and (self.config is None or config["revision"] > self.config["revision"]):
-            self.config = config
-            for tell in self.on_config:
-                tell(config)
-        if (view := word.get("view")) is not None:
-            new = msgspec.convert(view, View)
-            if new.number > self.view.number:
-                self.view = new
-                self._want()
-                for tell in self.on_view:
-                    tell(new)
-                self.changed.set()
-                self.changed = asyncio.Event()
-            self._view_heard, self._view_term = self.now(), term
-            self._put_lease_in_force()
-        if (workers := word.get("workers")) is not None:
-            self.worker_table.replace(self.now(), [msgspec.convert(one, Worker) for one in workers])
-            for tell in self.on_worker:
-                tell(None)
-        if (worker := word.get("worker")) is not None:
-            self.worker_table.put(self.now(), msgspec.convert(worker, Worker))
-            for tell in self.on_worker:
-                tell(worker["id"])
-        if (gone := word.get("gone")) is not None:
-            self.worker_table.remove(self.now(), gone, bool(word.get("left")))
-            for tell in self.on_worker:
-                tell(gone)
-        link.send({"op": "ack", "n": number, "term": term})
+        self.term, self.update_number = update.term, update.number
+        if update.config is not None:
+            self._apply_configuration(update.config)
+        if update.view is not None:
+            self._apply_view(update.view, update.term)
+        self._apply_workers(update)
+        link.send(UpdateAcknowledgement(update.number, update.term))
+
+    def _is_newer(self, update: Update) -> bool:
+        if update.term != self.term:
+            return update.term > self.term
+        return update.snapshot or update.number > self.update_number
+
+    def _apply_configuration(self, config: ConfigurationVersion) -> None:
+        if self.config is not None and config.revision <= self.config.revision:
+            return
+        self.config = config
+        for notify in self.on_config:
+            notify(config)
+
+    def _apply_view(self, view: View, term: int) -> None:
+        if view.number > self.view.number:
+            self.view = view
+            self._update_peers()
+            for notify in self.on_view:
+                notify(view)
+            self.changed.set()
+            self.changed = asyncio.Event()
+        self._view_heard_at, self._view_term = self.now(), term
+        self._put_lease_in_force()
+
+    def _apply_workers(self, update: Update) -> None:
+        now = self.now()
+        if update.workers is not None:
+            self.worker_table.replace(now, update.workers)
+            self._notify_worker(None)
+        if update.worker is not None:
+            self.worker_table.put(now, update.worker)
+            self._notify_worker(update.worker.id)
+        if update.removed_worker is not None:
+            self.worker_table.remove(now, update.removed_worker, update.worker_left)
+            self._notify_worker(update.removed_worker)
+
+    def _notify_worker(self, id: str | None) -> None:
+        for notify in self.on_worker:
+            notify(id)
--- /dev/null
+++ b/sableford/control/member_sessions.py
@@ -0,0 +1,112 @@
+"""The members' side of the leader: who joins, renews and acknowledges, on which link updates go out, and
+who waits
+for an update to be applied.
+"""
+
+import asyncio
+from collections.abc import Callable, Iterable
+
+from sableford.common.log import EventLog
+from sableford.control.coordinator import Coordinator
+from sableford.control.effects import AddStore, Effect, LogEvent, RemoveStore, SendUpdate, WaitEnded
+from sableford.control.protocol import (
+    JoinRequest,
+    JoinResponse,
+    RenewRequest,
+    RenewResponse,
+    UpdateAcknowledgement,
+)
+from sableford.control.roster_manager import RosterManager
+from sableford.transport.link import IncomingMessage, Link
+
+RENEW_RETRIES, RENEW_RETRY_MS = 5, 50.0  # a renewal waits while no majority has answered lately
+
+
+class MemberSessions:
+    """`leads` says whether this process leads, `leader` names who does as far as is known here, and `voters`
+    who votes."""
+
+    def __init__(
+        self,
+        coordinator: Coordinator,
+        roster_manager: RosterManager,
+        leads: Callable[[], bool],
+        leader: Callable[[], str],
+        voters: Callable[[], dict[str, str] | None],
+        now: Callable[[], float],
+        log: EventLog,
+    ) -> None:
+        self._coordinator, self._roster_manager = coordinator, roster_manager
+        self._leads, self._leader, self._voters = leads, leader, voters
+        self._now, self._log = now, log
+        self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
+        self._links: dict[str, Link] = {}
+        self._waits: dict[int, asyncio.Future[bool]] = {}
+
+    def end_all(self) -> None:
+        """This process leads no more."""
+        self._links.clear()
+
+    def carry_out(self, effects: Iterable[Effect]) -> None:
+        """What the coordinator has decided."""
+        for effect in effects:
+            match effect:
+                case SendUpdate(member, update):
+                    if (link := self._links.get(member)) is not None:
+                        link.send(update)
+                case AddStore(name):
+                    self._roster_manager.add_store(name)
+                case RemoveStore(name):
+                    self._roster_manager.remove_store(name)
+                case WaitEnded(token, all_applied):
+                    future = self._waits.pop(token, None)
+                    if future is not None and not future.done():
+                        future.set_result(all_applied)
+                case LogEvent(event, fields):
+                    self._log.event(event, **fields)
+
+    def handle_join(self, incoming: IncomingMessage[JoinRequest]) -> None:
+        """Accepted where this process leads, in a term that the member follows, with a majority behind it."""
+        coordinator, request = self._coordinator, incoming.message
+        can_lead = self._leads() and request.least_term <= coordinator.term
+        if not can_lead or not coordinator.majority_is_recent(self._now()):
+            incoming.respond(JoinResponse(False, leader=self._leader()))
+            return
+        self._links[incoming.sender] = incoming.link
+        incoming.respond(JoinResponse(True, coordinator.term, self._voters()))
+        self.carry_out(coordinator.joined(self._now(), incoming.sender, request))
+
+    def handle_renewal(self, incoming: IncomingMessage[RenewRequest], retries: int = RENEW_RETRIES) -> None:
+        """Accepted from a member that has joined on the same link."""
+        is_member = self._leads() and self._links.get(incoming.sender) is incoming.link
+        if is_member and retries and not self._coordinator.majority_is_recent(self._now()):
+            # A lost packet between voters; its lease still runs, and it waits for an answer.
+            self.loop.call_later(RENEW_RETRY_MS / 1000.0, self.handle_renewal, incoming, retries - 1)
+            return
+        request, sender = incoming.message, incoming.sender
+        is_member = is_member and request.term <= self._coordinator.term
+        if not is_member or not self._coordinator.renewed(self._now(), sender, request):
+            incoming.respond(RenewResponse(False, self._leader()))
+            return
+        incoming.respond(RenewResponse(True))
+        self.carry_out(
+            self._coordinator.acknowledged(self._now(), sender, request.incarnation, request.update_number)
+        )
+        self.carry_out(self._coordinator.tick(self._now()))
+
+    def handle_acknowledgement(self, incoming: IncomingMessage[UpdateAcknowledgement]) -> None:
+        """A member has applied an update of this lead."""
+        is_member = self._leads() and self._links.get(incoming.sender) is incoming.link
+        if is_member and incoming.message.term == self._coordinator.term:
+            incarnation, number = incoming.link.incarnation, incoming.message.number
+            self.carry_out(self._coordinator.acknowledged(self._now(), incoming.sender, incarnation, number))
+
+    async def wait_applied(
+        self, update_number: int, roles: tuple[str, ...], after_old_leases: bool = False
+    ) -> bool:
+        """Whether all present members of those roles have applied an update; it waits a bounded time."""
+        future: asyncio.Future[bool] = self.loop.create_future()
+        token, effects = self._coordinator.wait(self._now(), update_number, roles, after_old_leases)
+        self._waits[token] = future
+        self.carry_out(effects)
+        return await future
--- a/sableford/control/membership_model.py
+++ b/sableford/control/membership_model.py
@@ -9,14 +9,18 @@
 
 import itertools
 from collections.abc import Callable
+from functools import partial
 from heapq import heappop, heappush
 from random import Random
 from typing import Any
 
-from sableford.control.coordinator import RENEW, Coordinator, Register, Strike
+from sableford.control.coordinator import Coordinator
+from sableford.control.effects import AddStore, RemoveStore
 from sableford.control.presence import RESIGN_AFTER, PresenceTracker, patience_ms
-from sableford.control.retirement import RetirementRefused, begin_retirement, may_complete
+from sableford.control.protocol import JoinRequest, MemberStatus, RenewRequest, with_status
+from sableford.control.retirement import RetirementRefusedError, begin_retirement, may_complete
 from sableford.control.roster import Roster
+from sableford.control.timing import RENEW_MS
 from sableford.control.view import View
 from sableford.control.voter_selection import Candidate, Tolerance, select_voters
 
@@ -40,7 +44,7 @@
         self.life = self.folder = 0
         self.up = self.leaving = self.silent = self.gone = False  # gone: it never comes back
         self.ready_at = 0.0  # when its folder holds the record
-        self.whole, self.empty = True, True
+        self.complete, self.empty = True, True
         self.joined_at, self.renewed_at = 1e12, 0.0
         self.safe = self.seen = (0, 0)  # numbers of views: its messages were safe in, it was told
         self.spares = (0, 0)  # the same as `safe`, with nothing counted on stores that leave
@@ -51,7 +55,7 @@
         self.wanted: tuple[str, ...] = ()  # while it leads: who should vote
 
     @property
-    def birth(self) -> str:
+    def incarnation(self) -> str:
         return f"{self.name}.{self.life}"
 
 
@@ -70,7 +74,8 @@
         self.tolerance = tolerance or Tolerance(1)
         self.sync_ms = sync_s * 1000.0
         self.patience, self.zones = self.patience_of(sync_s), zones
-        self.now, self._events, self._order = 0.0, [], itertools.count()
+        self.now, self._order = 0.0, itertools.count()
+        self._events: list[Any] = []
         self.stores: dict[str, SimulatedStore] = {}
         self.lost_until: dict[str, float] = {}  # by the machine that is lost
         self.roster = Roster()
@@ -123,7 +128,7 @@
     def may_strike(self, name: str) -> bool:
         votes = self.pending is not None or name in {*self.voters, *self.stores[self.leader].wanted}
         enough = may_complete(self.roster, name, self.candidates(()), self.tolerance)
-        return enough and not votes and not self.coordinator.needless(name)
+        return enough and not votes and not self.coordinator.has_returned(name)
 
     def next_voters(self, wanted: tuple[str, ...]) -> dict[str, int] | None:
         """The record's part: one voter more or fewer; who comes first, unless who goes is silent."""
@@ -148,7 +153,7 @@
 
     # Time
 
-    def later(self, after: float, do: Callable, *given: Any) -> None:
+    def later(self, after: float, do: Callable[..., object], *given: Any) -> None:
         heappush(self._events, (self.now + after, next(self._order), do, given))
 
     def run(self, until: float) -> "MembershipModel":
@@ -179,7 +184,7 @@
                 store.seen = self.view.number
                 known = {*self.roster.stores, *self.voters}
                 store.tracker.observe(self.now, self.view.live_stores, known)
-                store.coordinator.mirror(self.view, (), self.now)
+                store.coordinator.observe(self.view, (), self.now)
         if self.leads():
             self.renew()
             self.coordinate(self.coordinator.tick(self.now))
@@ -220,14 +225,14 @@
     def refuse(self, name: str, life: int) -> None:
         store = self.stores[name]
         if not store.up and store.life == life and self.leads():
-            self.coordinate(self.coordinator.over(self.now, name))
+            self.coordinate(self.coordinator.process_ended(self.now, name))
 
     def wipe(self, store: SimulatedStore) -> None:
         """Its disk is lost: the next start finds it empty."""
         for message in self.messages:
             message.discard((store.name, store.folder))
         store.folder += 1
-        store.ready_at, store.whole, store.empty = 2e12, False, True
+        store.ready_at, store.complete, store.empty = 2e12, False, True
 
     def successor(self) -> SimulatedStore:
         store = self.add()
@@ -294,7 +299,7 @@
         store.tracker.begin(self.now)
         self._change_at = self.now
         self.coordinator = store.coordinator
-        self.coordinate(self.coordinator.lead(self.now, self.term))
+        self.coordinate(self.coordinator.become_leader(self.now, self.term))
         self.enrol(self.coordinator)
         for name, other in self.stores.items():
             other.joined_at = max(other.joined_at, self.now) + self.draw.uniform(*LINE)
@@ -307,43 +312,61 @@
         for store in self.stores.values():
             if not store.up or self.now < store.joined_at:
                 continue
-            said = {"birth": store.birth, "leaving": store.leaving, "safe": store.safe}
             if store.name not in self.coordinator.members:
-                joins = {"role": "store", "zone": store.zone, "node": store.node, "whole": store.whole}
-                joins |= {"empty": store.empty}
                 store.safe, store.spares, store.renewed_at = (0, 0), (0, 0), self.now
-                self.coordinate(self.coordinator.joined(self.now, store.name, said | joins))
+                request = with_status(JoinRequest, self.status(store), view=View())
+                self.coordinate(self.coordinator.joined(self.now, store.name, request))
                 self.later(self.draw.uniform(*COMPARED), self.compared, store.name, store.life)
-            elif self.now - store.renewed_at >= RENEW:
+            elif self.now - store.renewed_at >= RENEW_MS:
                 store.renewed_at = self.now
                 owners = {owner for owner in self.view.owners if owner}
                 if not self.blocked_at and "" not in self.view.owners and self.safe_in_view():
                     store.safe = self.view.number
                     if self.enough_stay() or not self.somebody_leaves():
                         store.spares = self.view.number
-                said["safe"], said["spares"] = store.safe, store.spares
-                said["audits"] = {
-                    name: other.birth for name, other in self.stores.items() if other.whole and owners
+                audits = {
+                    name: other.incarnation
+                    for name, other in self.stores.items()
+                    if other.complete and owners
                 }
-                self.coordinator.renewed(self.now, store.name, said)
-                store.whole = store.whole or self.coordinator.members[store.name].whole
+                status = self.status(store, audits)
+                request = with_status(RenewRequest, status, update_number=0, term=self.term)
+                self.coordinator.renewed(self.now, store.name, request)
+                store.complete = store.complete or self.coordinator.members[store.name].complete
             self.coordinate(
-                self.coordinator.acked(self.now, store.name, store.birth, self.coordinator.number)
+                self.coordinator.acknowledged(
+                    self.now, store.name, store.incarnation, self.coordinator.update_number
+                )
             )
 
+    def status(self, store: SimulatedStore, audits: dict[str, str] | None = None) -> MemberStatus:
+        """What it says of itself to the leader."""
+        return MemberStatus(
+            incarnation=store.incarnation,
+            role="store",
+            zone=store.zone,
+            node=store.node,
+            leaving=store.leaving,
+            complete=store.complete,
+            empty=store.empty,
+            audits=audits or {},
+            safe=store.safe,
+            safe_without_leaving=store.spares,
+        )
+
     def compared(self, name: str, life: int) -> None:
         """All owners have compared it, and given it what it lacks."""
         store = self.stores[name]
         if store.up and store.life == life:
-            store.whole, store.empty = True, False
+            store.complete, store.empty = True, False
 
-    def coordinate(self, effects: list) -> None:
+    def coordinate(self, effects: list[Any]) -> None:
         for effect in effects:
             match effect:
-                case Register(name):
-                    self._changes.append(lambda name=name: self.offer_roster(self.registering(name), name))
-                case Strike(name):
-                    self._changes.append(lambda name=name: self.offer_roster(self.striking(name), name))
+                case AddStore(name):
+                    self._changes.append(partial(self.offer_roster, self.registering(name), name))
+                case RemoveStore(name):
+                    self._changes.append(partial(self.offer_roster, self.striking(name), name))
         view = self.coordinator.view
         if view.number > self.view.number:
             self.view = view
@@ -366,7 +389,7 @@
         counted = [
             self.stores[name]
             for name, info in self.view.live_stores.items()
-            if info.whole and not info.retiring and not (info.leaving and enough)
+            if info.complete and not info.retiring and not (info.leaving and enough)
         ]
         return sorted(counted, key=lambda store: (store.leaving, store.name))
 
@@ -396,7 +419,7 @@
         """Every process applies the record."""
         roster = self.roster
         retiring, retired = roster.retiring.values(), roster.retired.values()
-        effects = coordinator.enrol(self.now, list(roster.stores), retiring, retired)
+        effects = coordinator.roster_changed(self.now, list(roster.stores), retiring, retired)
         if coordinator is self.coordinator:
             self.coordinate(effects)
 
@@ -430,7 +453,7 @@
         self.roster = roster
         for store in self.stores.values():
             self.enrol(store.coordinator)
-        self.coordinator.struck(name)
+        self.coordinator.roster_change_ended(name)
         for node in sorted(retired):
             self.complete(roster.retired[node])
 
@@ -443,7 +466,7 @@
         def decide() -> None:
             try:
                 roster = change()
-            except RetirementRefused:
+            except RetirementRefusedError:
                 self.counts["refused"] += 1
                 return
             if roster != self.roster:
@@ -470,10 +493,12 @@
         tracker, coordinator = self.stores[self.leader].tracker, self.coordinator
         for name in sorted({*names, *self.roster.stores}):
             member = coordinator.members.get(name)
-            here = member is not None and member.registered
-            leaving = here and member.leaving
+            if member is not None and member.registered:
+                here, leaving, complete = True, member.leaving, member.complete
+            else:
+                here, leaving, complete = False, False, False
             presence = tracker.of(self.now, name, here, leaving, name in coordinator.retiring)
-            found.append(Candidate(name, self.stores[name].zone, "", presence, here and member.whole))
+            found.append(Candidate(name, self.stores[name].zone, "", presence, complete))
         return found
 
     def change_voters(self) -> None:
--- a/sableford/control/membership_simulation.py
+++ b/sableford/control/membership_simulation.py
@@ -168,7 +168,9 @@
                 raise Wrong(f"MAJORITY of {voters}: {self.told()}")
         if self.pending is not None and len(self.pending.items() ^ self.voters.items()) != 1:
             raise Wrong(f"ONCE {self.voters} {self.pending}: {self.told()}")
-        away = [name for name in self.roster.stores if not (self.stores[name].up and self.stores[name].whole)]
+        away = [
+            name for name in self.roster.stores if not (self.stores[name].up and self.stores[name].complete)
+        ]
         self.blocked_at = 0.0 if self.borne(away) else self.blocked_at or self.now
         if self.blocked_at and self.now - self.blocked_at > TAKEOVER_WAIT:
             raise Wrong(f"TAKEOVER {away} of {self.roster.stores}: {self.told()}")
--- a/sableford/control/order_process.py
+++ b/sableford/control/order_process.py
@@ -17,7 +17,7 @@
 """
 
 from enum import Enum
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from sableford.control.orders import Confirmed, Proposal, Refused, State, Undecided, decide
 from sableford.control.requests import ConfigurationOrder
@@ -54,7 +54,7 @@
 
 class Respond(NamedTuple):
     status: int
-    body: dict
+    body: dict[str, Any]
 
 
 Effect = AskMajority | Propose | AwaitMembers | Respond
--- a/sableford/control/orders.py
+++ b/sableford/control/orders.py
@@ -13,11 +13,11 @@
 """
 
 from hashlib import sha256
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import orjson
 
-from sableford.control.configuration import Invalid, amended, check
+from sableford.control.configuration import InvalidRequestError, amended, check
 from sableford.control.order_history import FIRST, RECENT_MAX, Archive, Version, unarchived
 from sableford.control.requests import ConfigurationOrder, OrderKind
 
@@ -27,7 +27,7 @@
     index of the record's entry that set it."""
 
     revision: int = 0
-    doc: dict | None = None
+    doc: dict[str, Any] | None = None
     recent: tuple[Version, ...] = (FIRST,)
     archive: Archive = Archive()
     entry: int = 0
@@ -101,19 +101,19 @@
         if order.base != state.revision:
             return Refused(412, f"revision {state.revision} is in force", state.revision)
         return Proposal(_next_state(state, order, mark))
-    except Invalid as problem:
+    except InvalidRequestError as problem:
         return Refused(400, str(problem), state.revision)
 
 
 def _next_state(state: State, order: ConfigurationOrder, mark: str) -> State:
-    """Raises Invalid."""
+    """Raises InvalidRequestError."""
     doc = order.body
     if order.kind is OrderKind.AMEND:
         if state.doc is None:
-            raise Invalid("there is nothing to amend")
+            raise InvalidRequestError("there is nothing to amend")
         doc = amended(state.doc, order.body)
     new = check(doc)
     if new.revision <= state.revision:
-        raise Invalid(f"revision: {new.revision} is not above {state.revision}")
+        raise InvalidRequestError(f"revision: {new.revision} is not above {state.revision}")
     recent = (*unarchived(state.recent, state.archive), Version(mark, new.revision))
     return State(new.revision, doc, recent[-RECENT_MAX:], state.archive, state.entry)
--- a/sableford/control/presence.py
+++ b/sableford/control/presence.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from enum import Enum
 
-from sableford.control.coordinator import LEASE
+from sableford.control.timing import LEASE_MS
 from sableford.control.view import StoreInfo
 
 ABSENT_PART = 0.4  # of sync_s: longer than a planned restart takes; half of sync_s stays for the moves
@@ -37,7 +37,7 @@
     (1760.0, 200.0, 0.0)
     """
     sync_ms = sync_s * 1000.0
-    return max(0.0, min(ABSENT_PART * sync_ms, sync_ms - LEASE - MOVE_MS))
+    return max(0.0, min(ABSENT_PART * sync_ms, sync_ms - LEASE_MS - MOVE_MS))
 
 
 class PresenceTracker:
--- /dev/null
+++ b/sableford/control/record_driver.py
@@ -0,0 +1,184 @@
+"""Runs this machine's side of the replicated record: its messages, its disk, and the offers made here.
+
+The record itself (`sableford.fleet.record`) decides without I/O; this module carries out what it asks for.
+"""
+
+import asyncio
+import os
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
+from zlib import crc32
+
+import msgspec
+
+from sableford.common.disk import Disk
+from sableford.common.log import EventLog
+from sableford.control.protocol import RecordMessage
+from sableford.control.record_storage import RecordStorage, RecordWriter
+from sableford.fleet.record import core as record_core
+from sableford.fleet.record import words as record_words
+from sableford.fleet.record.constants import STREAMS
+from sableford.fleet.record.core import Record
+from sableford.transport.link import IncomingMessage, Link
+from sableford.transport.link_pool import LinkPool
+
+HAIL_WAIT_MS = 400.0  # a starting voter waits for all voters: one that runs answers in a few
+OFFER_TIMEOUT_MS = 3000.0  # for a majority to agree on an entry; its caller asks again
+REWRITE_AFTER_S = 1.0  # a write that failed is tried again, all of it anew
+MAX_VALUE_BYTES = 1_048_576  # some of the largest configurations that a call may carry
+
+_encode = msgspec.json.Encoder().encode
+_decode = msgspec.json.Decoder(record_words.Words).decode
+
+
+class OfferResult(NamedTuple):
+    """What came of an offer: whether it is in force, at which position of the log, and if not why."""
+
+    accepted: bool
+    position: int
+    why: str
+
+
+class RecordDriver:
+    """`on_applied` is called when what the record adds up to may have changed, `on_event` after everything
+    that may change who leads. Times are ms of `now`."""
+
+    def __init__(
+        self,
+        name: str,
+        links: LinkPool,
+        disk: Disk,
+        log: EventLog,
+        now: Callable[[], float],
+        on_applied: Callable[[], None],
+        on_event: Callable[[], None],
+    ) -> None:
+        self._name, self._links, self._disk, self._log, self._now = name, links, disk, log, now
+        self._on_applied, self._on_event = on_applied, on_event
+        self._loop = asyncio.get_running_loop()
+        self.record: Record | None = None
+        self._writer: RecordWriter | None = None
+        self._incarnation = int.from_bytes(os.urandom(6), "little")
+        self._offers: dict[int, asyncio.Future[OfferResult]] = {}
+        self._incoming_links: dict[str, Link] = {}  # on which others' messages of the record came
+
+    def start(self, storage: RecordStorage, seeds: Iterable[str]) -> Record:
+        """Every store holds the record; who votes is agreed on in it, at first the seeds."""
+        self._writer = RecordWriter(storage, self._disk.write, self._stored)
+        is_newcomer = not storage.names
+        names = storage.names or sorted({*seeds} - {self._name})
+        self.record = Record(
+            self._name,
+            self._incarnation,
+            names,
+            storage.held,
+            self._now(),
+            crc32(self._name.encode()),
+            most=MAX_VALUE_BYTES,
+            newcomer=is_newcomer,
+            hail_wait=HAIL_WAIT_MS,
+            transport=STREAMS,
+        )
+        return self.record
+
+    @property
+    def leads(self) -> bool:
+        """Whether this machine's side is the leader of its term."""
+        return self.record is not None and self.record.leads
+
+    def leads_with_all_applied(self) -> bool:
+        """Whether it leads, and all that was agreed on before is in force here."""
+        record = self.record
+        return (
+            record is not None
+            and record.leads
+            and record.term_at(record.commit) == record.term
+            and record.machine.last >= record.commit
+        )
+
+    def settled_voters(self) -> dict[str, str] | None:
+        """Who votes, by name with the id of each one's disk; None while that is changing."""
+        return self.record.settled_voters() if self.record is not None else None
+
+    def next_tick_in_ms(self) -> float:
+        """Until the record wants its next tick."""
+        return self.record.due - self._now() if self.record is not None else float("inf")
+
+    def tick(self) -> None:
+        """What is due."""
+        if self.record is not None and self._now() >= self.record.due:
+            self.carry_out(self.record.tick(self._now()))
+
+    def link_up(self) -> None:
+        """A link to another process is open: what waits for its answer asks now."""
+        if self.record is not None:
+            self.record.met(self._now())
+            self.tick()
+
+    def handle_message(self, incoming: IncomingMessage[RecordMessage]) -> None:
+        """A message of another machine's side."""
+        if self.record is None:
+            return
+        try:
+            word = _decode(incoming.body)
+        except msgspec.MsgspecError:
+            self._log.event("record_message_unreadable", sender=incoming.sender)
+            return
+        sender = incoming.message.sender
+        self._incoming_links[sender] = incoming.link
+        self.carry_out(self.record.heard(self._now(), sender, incoming.message.incarnation, word))
+        self._on_event()
+
+    async def offer(self, data: bytes | None, timeout_ms: float = OFFER_TIMEOUT_MS) -> OfferResult | None:
+        """Proposes an entry, or with no data asks a majority to confirm what is in force. None where it is
+        not known what came of it."""
+        assert self.record is not None, "not started"
+        number, effects = self.record.offer(self._now(), data)
+        future = self._offers[number] = self._loop.create_future()
+        self.carry_out(effects)
+        try:
+            async with asyncio.timeout(timeout_ms / 1000.0):
+                result: OfferResult = await future
+                return result
+        except TimeoutError:
+            self.record.drop(number)
+            return None
+        finally:
+            self._offers.pop(number, None)
+
+    def carry_out(self, effects: Iterable[record_core.Effect]) -> None:
+        """What the record asks for, in its order."""
+        for effect in effects:
+            match effect:
+                case record_core.Send(to, word):
+                    self._send(to, word)
+                case record_core.Store():
+                    assert self._writer is not None, "not started"
+                    self._writer.keep(effect)
+                case record_core.Answer(number, accepted, index, why):
+                    future = self._offers.pop(number, None)
+                    if future is not None and not future.done():
+                        future.set_result(OfferResult(accepted, index, why))
+                case record_core.Settled() | record_core.Restored():
+                    self._on_applied()
+                case record_core.Said(event, fields):
+                    self._log.event(event, **fields)
+
+    def _send(self, to: str, word: record_words.Words) -> None:
+        # A store that lost its disk knows of few others, and answers whoever asks.
+        link = self._links.link(to) or self._incoming_links.get(to)
+        if link is not None:
+            link.send(RecordMessage(self._name, self._incarnation), _encode(word))
+
+    def _stored(self, number: int, problem: BaseException | None) -> None:
+        assert self.record is not None, "not started"
+        if problem is None:
+            self.carry_out(self.record.stored(self._now(), number))
+        else:
+            self.carry_out(self.record.failed(self._now(), repr(problem)))
+            self._loop.call_later(REWRITE_AFTER_S, self._rewrite)
+        self._on_event()
+
+    def _rewrite(self) -> None:
+        assert self.record is not None, "not started"
+        self.carry_out(self.record.rewrite())
--- a/sableford/control/record_storage.py
+++ b/sableford/control/record_storage.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
+from sableford.common.disk import Puts
 from sableford.fleet.record.core import Add, Cut, Held, Meta, Store, Whole
 from sableford.fleet.record.machine import Image
 from sableford.fleet.record.words import Entry
 
 META, ENTRY, IMAGE = b"rm", b"re", b"ri"
-Puts = list[tuple[bytes, bytes | None]]
 
 
 class _Meta(msgspec.Struct):
@@ -134,7 +134,7 @@
     def __init__(
         self,
         storage: RecordStorage,
-        write: Callable[[Puts], Future],
+        write: Callable[[Puts], "Future[bool]"],
         done: Callable[[int, BaseException | None], None],
     ) -> None:
         """`done` is told the last number of each write, and what went wrong."""
--- a/sableford/control/requests.py
+++ b/sableford/control/requests.py
@@ -1,6 +1,7 @@
 """What workers and operators send, read and checked. No I/O.
 
-Each call's path, headers and body come to one typed request or to Invalid, whose one line names the field.
+Each call's path, headers and body come to one typed request or to InvalidRequestError, whose one line names
+the field.
 The forms are those of PROTOCOL.md ("Which workers there are", "The operator").
 """
 
@@ -12,7 +13,7 @@
 import msgspec
 import orjson
 
-from sableford.control.configuration import MAX_PORT, MAX_REVISION, Invalid, check_depth
+from sableford.control.configuration import MAX_PORT, MAX_REVISION, InvalidRequestError, check_depth
 
 # Into a delivery's head goes the worker's id, so it may hold nothing that could end a header's line.
 IDENTIFIER = re.compile(r"[!-~]{1,128}")
@@ -63,34 +64,39 @@
 
     kind: OrderKind
     base: int
-    body: dict
+    body: dict[str, Any]
 
 
 def worker_id(text: str) -> str:
-    """
-    >>> worker_id("i-7f3a91c2"), worker_id("a\\r\\nHost: b")
-    Traceback (most recent call last):
-    ...
-    sableford.control.configuration.Invalid: the worker's id: 1 to 128 visible ASCII characters are wanted
+    """The id in a call's path. Raises InvalidRequestError.
+
+    >>> worker_id("i-7f3a91c2")
+    'i-7f3a91c2'
+    >>> try:
+    ...     worker_id("a\\r\\nHost: b")
+    ... except InvalidRequestError as problem:
+    ...     print(problem)
+    the worker's id: 1 to 128 visible ASCII characters are wanted
     """
     if not IDENTIFIER.fullmatch(text):
-        raise Invalid("the worker's id: 1 to 128 visible ASCII characters are wanted")
+        raise InvalidRequestError("the worker's id: 1 to 128 visible ASCII characters are wanted")
     return text
 
 
 def heartbeat(body: bytes) -> Heartbeat:
-    """
+    """The body of a worker's heartbeat. Raises InvalidRequestError.
+
     >>> heartbeat(b'{"backend":"a","address":"b:","zone":"","capacity":1,"phase":"ready","callCount":1}')
     Traceback (most recent call last):
     ...
-    sableford.control.configuration.Invalid: address: 'b:' is not a host and a port
+    sableford.control.configuration.InvalidRequestError: address: 'b:' is not a host and a port
     """
-    given = _decoded(body, Heartbeat)
+    given: Heartbeat = _decoded(body, Heartbeat)
     if not math.isfinite(given.cold_left_ms):
-        raise Invalid("coldLeftMs: a number is wanted")
+        raise InvalidRequestError("coldLeftMs: a number is wanted")
     host, _, port = given.address.rpartition(":")
     if not (HOST.fullmatch(host) and DIGITS.fullmatch(port) and 0 < int(port) <= MAX_PORT):
-        raise Invalid(f"address: {given.address[:80]!r} is not a host and a port")
+        raise InvalidRequestError(f"address: {given.address[:80]!r} is not a host and a port")
     return given
 
 
@@ -98,7 +104,7 @@
     """An empty body names no time."""
     given = _decoded(body, Retirement) if body.strip() else Retirement()
     if given.within_s is not None and not math.isfinite(given.within_s):
-        raise Invalid("withinS: a number is wanted")
+        raise InvalidRequestError("withinS: a number is wanted")
     return given
 
 
@@ -107,19 +113,19 @@
     try:
         given = orjson.loads(body)
     except orjson.JSONDecodeError as problem:
-        raise Invalid(f"the body: no JSON: {problem}") from None
+        raise InvalidRequestError(f"the body: no JSON: {problem}") from None
     if not isinstance(given, dict):
-        raise Invalid("the body: an object is wanted")
+        raise InvalidRequestError("the body: an object is wanted")
     check_depth(given)
     return ConfigurationOrder(kind, _base_version(bases), given)
 
 
 def _base_version(bases: list[str]) -> int:
     if len(bases) != 1:
-        raise Invalid("Base-Version: one such header is wanted")
+        raise InvalidRequestError("Base-Version: one such header is wanted")
     text = bases[0].strip(" \t")
     if not DIGITS.fullmatch(text):
-        raise Invalid(f"Base-Version: a number from 0 to {MAX_REVISION} is wanted")
+        raise InvalidRequestError(f"Base-Version: a number from 0 to {MAX_REVISION} is wanted")
     return int(text)
 
 
@@ -128,6 +134,6 @@
         return msgspec.json.decode(body, type=form, strict=False)
     except msgspec.ValidationError as problem:
         text, _, place = str(problem).partition(" - at `$.")
-        raise Invalid(f"{place.rstrip('`')}: {text}" if place else text) from None
+        raise InvalidRequestError(f"{place.rstrip('`')}: {text}" if place else text) from None
     except (msgspec.DecodeError, RecursionError) as problem:
-        raise Invalid(f"the body: no JSON: {problem}") from None
+        raise InvalidRequestError(f"the body: no JSON: {problem}") from None
--- a/sableford/control/retirement.py
+++ b/sableford/control/retirement.py
@@ -24,7 +24,7 @@
     COMPLETE = "complete"
 
 
-class RetirementRefused(Exception):
+class RetirementRefusedError(Exception):
     """With the status and the reason that the operator is answered."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -57,21 +57,21 @@
     roster: Roster, node: str, hosts: dict[str, str], stores: Iterable[Candidate], tolerance: Tolerance
 ) -> Roster:
     """The roster with `node` being emptied; the same one where it is or was. `stores`: as the leader sees
-    them. Raises RetirementRefused."""
+    them. Raises RetirementRefusedError."""
     if phase_of(roster, node, hosts) is not None:
         return roster
     host = hosts.get(node, "")
     if host not in roster.stores:
-        raise RetirementRefused(404, "no such store")
+        raise RetirementRefusedError(404, "no such store")
     going = {*roster.retiring.values(), host}
     known = list(stores)
     present = [store for store in known if store.presence is Presence.SERVING]
     left = [store for store in present if store.name not in going]
     if len(left) < 2 * tolerance.machines + 1:
         if any(store.presence is Presence.UNHEARD for store in known):
-            raise RetirementRefused(503, "not known yet which stores are there")
-        raise RetirementRefused(409, f"{len(left)} would be left")
+            raise RetirementRefusedError(503, "not known yet which stores are there")
+        raise RetirementRefusedError(409, f"{len(left)} would be left")
     before = left + [store for store in known if store.name == host]  # it may just be restarting
     if bearable(before, tolerance) and not bearable(left, tolerance):
-        raise RetirementRefused(409, "those left could not bear the loss of a zone or region")
+        raise RetirementRefusedError(409, "those left could not bear the loss of a zone or region")
     return roster.with_retiring(node, host)
--- a/sableford/control/simulation/cluster.py
+++ b/sableford/control/simulation/cluster.py
@@ -11,12 +11,12 @@
 from typing import Any
 from unittest import mock
 
+from sableford.common.settings import Addresses, Settings, Tolerates
 from sableford.control.simulation.disk import Platter, SimulatedDisk
 from sableford.control.simulation.event_loop import Process, Run, SimulatedLoop
 from sableford.control.simulation.network import Network
 from sableford.control.simulation.programs import EdgeProgram, Program, StoreProgram
 from sableford.node import runtime as node_runtime
-from sableford.node.settings import Addresses, Settings, Tolerates
 from sableford.transport.http import Answer, Request
 
 INNER_PORT, CONTROL_PORT = 7300, 8262
@@ -34,8 +34,8 @@
     def __init__(self, node: str) -> None:
         self._node = node
 
-    def say(self, event: str, **fields: Any) -> None:
-        SimulatedLog.story.logged(self._node, event, fields)
+    def event(self, name: str, /, **fields: Any) -> None:
+        SimulatedLog.story.logged(self._node, name, fields)
 
     def close(self) -> None:
         """Nothing is kept back."""
@@ -157,7 +157,7 @@
             machine.program = StoreProgram(settings, machine.process, chance, self._watcher, machine.disk)
         else:
             machine.program = EdgeProgram(settings, machine.process, chance, self._watcher)
-        machine.program.runtime.task(machine.program.main())
+        machine.program.runtime.spawn(machine.program.main())
 
     def reseed(self, machine: Machine) -> None:
         """New seeds in its settings file, read by the process that runs."""
--- a/sableford/control/simulation/disk.py
+++ b/sableford/control/simulation/disk.py
@@ -1,13 +1,13 @@
 """A machine's disk: keeps what was synced; a loss of power takes the rest. It can be slow, stalled, full or
-wiped. The interface is that of `sableford.store.disk.Disk`."""
+wiped. The interface is that of `sableford.common.disk.Disk`."""
 
 import asyncio
 from collections import deque
 from collections.abc import Callable, Iterable
 from random import Random
 
+from sableford.common.disk import DiskFullError
 from sableford.control.simulation.event_loop import Process
-from sableford.store.disk import Full
 
 SYNC_MS = 2.0  # for one synced commit, give or take half
 Puts = list[tuple[bytes, bytes | None]]
@@ -66,7 +66,7 @@
         if self._platter.stalled:
             self._platter.later(0.05, self._finish)
             return
-        problem = Full("the disk's file is full") if self._platter.full else None
+        problem = DiskFullError("the disk's file is full") if self._platter.full else None
         if problem is None:
             self._platter.commit(puts for puts, _ in self._under_way)
         for _, future in self._under_way:
--- a/sableford/control/simulation/judges.py
+++ b/sableford/control/simulation/judges.py
@@ -15,8 +15,9 @@
 
 import orjson
 
+from sableford.common.settings import Bounds
+from sableford.control.protocol import ConfigurationVersion
 from sableford.control.simulation.cluster import Cluster
-from sableford.node.settings import Bounds
 
 POLL_MS = 100.0  # between two looks at members, calls under way and workers
 STORY = 600  # events kept for the story of a finding
@@ -214,13 +215,13 @@
 
     # Members
 
-    def applied(self, program: Any, config: dict) -> None:
-        revision = config["revision"]
+    def applied(self, program: Any, config: ConfigurationVersion) -> None:
+        revision = config.revision
         if revision < self._applied.get(program, 0):
             self.found("went back", f"{program.process.host} from {self._applied[program]} to {revision}")
         self._applied[program] = revision
-        if config["doc"] is not None:
-            doc = orjson.dumps(config["doc"], option=orjson.OPT_SORT_KEYS)
+        if config.document is not None:
+            doc = orjson.dumps(config.document, option=orjson.OPT_SORT_KEYS)
             self._seen(doc, f"applied by {program.process.host}")
 
     def poll(self) -> None:
@@ -228,10 +229,10 @@
         cluster = self.cluster
         newest = self.acknowledged_at(self.now() - self.bounds.apply_ms)
         for machine in cluster.machines.values():
-            if not machine.running or not machine.program.member.valid():
+            if not machine.running or not machine.program.member.holds_lease():
                 continue
             member = machine.program.member
-            has = member.config["revision"] if member.config else 0
+            has = member.config.revision if member.config else 0
             if has < newest:
                 self.found(
                     "stale member", f"{machine.node} serves {has} under a lease; {newest} is acknowledged"
--- a/sableford/control/simulation/programs.py
+++ b/sableford/control/simulation/programs.py
@@ -5,28 +5,45 @@
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, ClassVar
 
+import msgspec
+
+from sableford.common.settings import Settings
 from sableford.control.record_storage import RecordStorage
 from sableford.control.service import ControlService
 from sableford.control.simulation.disk import SimulatedDisk
 from sableford.control.simulation.event_loop import Process
 from sableford.control.view import View
-from sableford.node.runtime import Runtime
-from sableford.node.settings import Settings
+from sableford.node.runtime import Runtime, StoreStatus
+from sableford.transport.errors import CallError
 from sableford.transport.http import Answer, Request
-from sableford.transport.links import Broken, Link
+from sableford.transport.link import IncomingMessage
+from sableford.transport.messages import PeerRequest, PeerResponse
 
-WHOLE = b"n"  # the key under which a store notes that its folder holds all that it ever said to hold
+COMPLETE = b"n"  # the key under which a store notes that its folder holds all that it ever said to hold
 AUDIT_MS = 500.0  # between two looks at what the leader is to be told of the own folder
 ECHO_MS = 300.0  # between two calls to a peer that must not be repeated
 ECHO_MOST_MS = 120.0  # the longest that a peer takes to answer one
 
 
+class EchoResponse(PeerResponse, frozen=True):
+    """The tag of the call that it answers."""
+
+    tag: str = ""
+
+
+class EchoRequest(PeerRequest[EchoResponse], frozen=True, tag="echo"):
+    """A call that must be handled once and answered to its caller alone."""
+
+    response_type: ClassVar[type[PeerResponse]] = EchoResponse
+    call_tag: str = msgspec.field(name="tag")
+
+
 class SimulatedRuntime(Runtime):
     """Without a settings file to watch."""
 
-    async def _watch(self) -> None:
+    async def _watch_settings(self) -> None:
         return
 
 
@@ -41,7 +58,7 @@
         self.process, self._chance, self._watcher = process, chance, watcher
         self.runtime = SimulatedRuntime(settings, Path("settings.yaml"), self.role)
         self.member, self.loop = self.runtime.member, self.runtime.loop
-        self.runtime.ops["echo"] = self._echo
+        self.runtime.peer_server.handle(EchoRequest, self._echo)
         self.member.on_config.append(lambda config: watcher.applied(self, config))
         self._echoes = 0
 
@@ -57,19 +74,20 @@
         link = self.runtime.links.link(self._chance.choice(names))
         for _ in range(2):  # answered in any order
             self._echoes += 1
-            tag = f"{self.runtime.birth}-{self._echoes}"
-            asked = link.ask({"op": "echo", "tag": tag})
+            tag = f"{self.runtime.incarnation}-{self._echoes}"
+            asked = link.request(EchoRequest(tag))
             asked.add_done_callback(lambda future, tag=tag: self._echo_answered(tag, future))
 
-    def _echo(self, link: Link, head: dict, raw: bytes) -> None:
-        self._watcher.echo_handled(head["tag"])
+    def _echo(self, incoming: IncomingMessage[EchoRequest]) -> None:
+        tag = incoming.message.call_tag
+        self._watcher.echo_handled(tag)
         delay = self._chance.uniform(0.0, ECHO_MOST_MS) / 1000.0
-        self.loop.call_later(delay, link.answer, head, {"tag": head["tag"]})
+        self.loop.call_later(delay, incoming.respond, EchoResponse(tag))
 
     def _echo_answered(self, tag: str, future: Any) -> None:
-        if isinstance(future.exception(), Broken):
+        if isinstance(future.exception(), CallError):
             return
-        self._watcher.echo_answered(tag, future.result()[0].get("tag"))
+        self._watcher.echo_answered(tag, future.result().message.tag)
 
 
 class EdgeProgram(Program):
@@ -88,55 +106,55 @@
         self.disk = disk
         self.control = ControlService(self.runtime, disk)
         control, member = self.control, self.member
-        self.runtime.ops |= {
-            "join": lambda link, head, raw: control.join(link, head),
-            "renew": lambda link, head, raw: control.renew(link, head),
-            "ack": lambda link, head, raw: control.ack(link, head),
-            "raft": control.raft,
-        }
+        control.register(self.runtime.peer_server)
         member.on_view.append(self._view)
         member.on_worker.append(self._worker)
-        member.on_joined.append(control.joined)
-        known = dict(disk.load(WHOLE)).get(WHOLE)
-        self._whole = known == b"whole" or (known is None and settings.bootstrap)
+        member.on_joined.append(control.joined_leader)
+        known = dict(disk.load(COMPLETE)).get(COMPLETE)
+        self._complete = known == b"whole" or (known is None and settings.bootstrap)
         self._noted = known is not None
         self._empty = not disk.load(b"r")
         self.storage = RecordStorage(disk.load(b"r"))
         if self.storage.fresh:
             disk.write(self.storage.begin(sorted(settings.seeds) if settings.bootstrap else ()))
-        self._say()
+        self._update_status()
 
     async def main(self) -> None:
         await super().main()
         self.control.start(self.storage)
         self._audit()
 
-    def _say(self) -> None:
+    def _update_status(self) -> None:
         view = self.member.view
-        safe = list(view.number) if self._whole and "" not in view.owners else [0, 0]
-        audits = {name: one.birth for name, one in view.live_stores.items()}
-        told = {"whole": self._whole, "audits": audits, "empty": self._empty}
-        self.runtime.said = told | {"safe": safe, "spares": safe}
+        safe = view.number if self._complete and "" not in view.owners else (0, 0)
+        audits = {name: one.incarnation for name, one in view.live_stores.items()}
+        self.runtime.store_status = StoreStatus(
+            complete=self._complete,
+            audits=audits,
+            empty=self._empty,
+            safe=safe,
+            safe_without_leaving=safe,
+        )
 
     def _audit(self) -> None:
         self.loop.call_later(AUDIT_MS / 1000.0, self._audit)
-        self._say()
-        if self._whole and not self._noted:
+        self._update_status()
+        if self._complete and not self._noted:
             self._noted = True
-            self.disk.write([(WHOLE, b"whole")]).add_done_callback(self._audit_noted)
+            self.disk.write([(COMPLETE, b"whole")]).add_done_callback(self._audit_noted)
 
     def _audit_noted(self, future: Any) -> None:
         self._noted = future.exception() is None
 
     def _view(self, view: View) -> None:
         own = view.live_stores.get(self.runtime.me)
-        if own is not None and own.birth == self.runtime.birth:
-            self._whole = self._whole or own.whole
-        self.control.coordinator.mirror(view, self.member.workers.values(), self.runtime.now())
+        if own is not None and own.incarnation == self.runtime.incarnation:
+            self._complete = self._complete or own.complete
+        self.control.coordinator.observe(view, self.member.workers.values(), self.runtime.now())
 
     def _worker(self, id: str | None) -> None:
         workers = self.member.workers.values()
-        self.control.coordinator.mirror(self.member.view, workers, self.runtime.now())
+        self.control.coordinator.observe(self.member.view, workers, self.runtime.now())
 
     def serve(self, request: Request, reply: Callable[[Answer], None]) -> None:
         """A control call, in this process."""
@@ -144,7 +162,7 @@
         if isinstance(answer, Answer):
             reply(answer)
             return
-        task = self.runtime.task(answer)
+        task = self.runtime.spawn(answer)
         task.add_done_callback(lambda done: reply(self._result(done)))
 
     def _result(self, task: Any) -> Answer:
--- a/sableford/control/simulation/walk.py
+++ b/sableford/control/simulation/walk.py
@@ -5,13 +5,14 @@
 from random import Random
 from typing import NamedTuple
 
+from sableford.common.settings import Bounds
+from sableford.control.protocol import ConfigurationVersion
 from sableford.control.simulation.cluster import SNAP_AFTER, SNAP_KEEP, Cluster, surroundings
 from sableford.control.simulation.event_loop import Process, SimulatedLoop
 from sableford.control.simulation.faults import Faults
 from sableford.control.simulation.judges import Finding, Judges
 from sableford.control.simulation.operators import Caller, Operator
 from sableford.control.simulation.workers import Worker
-from sableford.node.settings import Bounds
 
 BEGIN_S = 12.0  # at most, for all to come together the first time: traffic begins no sooner
 STOP_S = 26.0  # at most, for faults under way to end
@@ -140,9 +141,9 @@
         there = [one for one in self.cluster.machines.values() if not one.gone]
         if self.cluster.leader() is None or any(one.program is None for one in there):
             return False
-        held = {(one.program.member.config or {}).get("revision", 0) for one in there}
+        held = {_revision_of(one.program.member.config) for one in there}
         held |= {one.program.control.state.revision for one in there if one.role == "store"}
-        return len(held) == 1 and all(one.program.member.valid() for one in there)
+        return len(held) == 1 and all(one.program.member.holds_lease() for one in there)
 
     def _set_up(self) -> None:
         shape, chance = self.shape, self.chance
@@ -202,10 +203,10 @@
             if machine.gone:
                 continue
             member = machine.program.member
-            has = member.config["revision"] if member.config else 0
+            has = _revision_of(member.config)
             own = machine.program.control.state.revision if machine.role == "store" else revision
-            if not member.valid() or has != revision or own != revision:
-                told = f"has {has}, its record {own}, of {revision}, lease {member.valid()}"
+            if not member.holds_lease() or has != revision or own != revision:
+                told = f"has {has}, its record {own}, of {revision}, lease {member.holds_lease()}"
                 self.judges.found("not caught up", f"{machine.node} ({machine.host}) {told}")
 
     def _close_disks(self) -> None:
@@ -218,6 +219,10 @@
                 )
 
 
+def _revision_of(config: ConfigurationVersion | None) -> int:
+    return config.revision if config is not None else 0
+
+
 def play(seed: int, shape: Shape) -> Finding | dict[str, int]:
     """One walk, its finding or its counts."""
     try:
--- a/sableford/control/view.py
+++ b/sableford/control/view.py
@@ -14,14 +14,14 @@
 
 
 class StoreInfo(msgspec.Struct):
-    """A live store. `whole`: its disk holds all that it ever said to hold."""
+    """A live store. `complete`: its disk holds all that it ever said to hold."""
 
-    birth: str
+    incarnation: str = msgspec.field(name="birth")
     zone: str
     node: str = ""
     control: str = ""
     leaving: bool = False
-    whole: bool = True
+    complete: bool = msgspec.field(name="whole", default=True)
     empty: bool = False  # its folder held nothing when it started
     retiring: bool = False  # what it holds counts no more
     full: bool = False  # its disk takes nothing more; what it holds counts
@@ -30,7 +30,9 @@
 class View(msgspec.Struct):
     number: Number = (0, 0)
     owners: list[str] = msgspec.field(default_factory=lambda: [""] * SHARDS)
-    births: list[str] = msgspec.field(default_factory=lambda: [""] * SHARDS)  # of the owner's life
+    incarnations: list[str] = msgspec.field(
+        name="births", default_factory=lambda: [""] * SHARDS
+    )  # of the owners
     epochs: list[Number] = msgspec.field(default_factory=lambda: [(0, 0)] * SHARDS)  # since when it is its
     live_stores: dict[str, StoreInfo] = msgspec.field(
         default_factory=dict, name="huts"
@@ -39,8 +41,12 @@
     zones: dict[str, str] = {}  # the zone of each store of the roster, where the leader knows it
     spared: list[str] = []  # of the roster: those on whose disks nothing is needed, till they are back
 
-    def owned(self, name: str, birth: str) -> list[int]:
-        return [at for at, owner in enumerate(self.owners) if owner == name and self.births[at] == birth]
+    def owned(self, name: str, incarnation: str) -> list[int]:
+        return [
+            at
+            for at, owner in enumerate(self.owners)
+            if owner == name and self.incarnations[at] == incarnation
+        ]
 
 
 def shard_of(key: str) -> int:
--- a/sableford/control/voter_selection.py
+++ b/sableford/control/voter_selection.py
@@ -37,7 +37,7 @@
     zone: str = ""
     region: str = ""
     presence: Presence = Presence.SERVING
-    whole: bool = True
+    complete: bool = True
 
 
 class Selection(NamedTuple):
@@ -134,7 +134,7 @@
         regions = Counter(store.region for store in wanted) if tolerance.regions else Counter()
         best = min(
             rest,
-            key=lambda store: (regions[store.region], zones[store.zone], not store.whole, store.name),
+            key=lambda store: (regions[store.region], zones[store.zone], not store.complete, store.name),
         )
         rest.remove(best)
         wanted.append(best)
--- a/sableford/control/worker_registry.py
+++ b/sableford/control/worker_registry.py
@@ -1,11 +1,11 @@
-"""The leader's list of workers: their calls, and which news stores must have applied before one of them is
+"""The leader's list of workers: their calls, and which updates stores must have applied before one of them is
 acknowledged. No I/O.
 
 call                         list                      to be applied by all stores before the acknowledgement
-ready                        the worker's line         nothing
-draining                     its line, for good        the news that told of it under this leader
-draining, sent again         as it was                 the same news
-leave, first or sent again   none, for good            the news that told of it under this leader
+ready                        the worker's entry        nothing
+draining                     its entry, for good       the update that told of it under this leader
+draining, sent again         as it was                 the same update
+leave, first or sent again   none, for good            the update that told of it under this leader
 silence                      none, it may come back    -
 
 A call that is sent again changes nothing and must wait all the same: its first sending may still be on its
@@ -13,56 +13,79 @@
 """
 
 from collections.abc import Callable
+from typing import NamedTuple
 
 import msgspec
 
-from sableford.control.effects import Effect, Said
+from sableford.control.effects import Effect, LogEvent
 from sableford.control.workers import DRAINING, Departure, Worker, WorkerTable
 
-MISSED = 3.2  # beats missed: then a worker is gone
+MISSED_HEARTBEATS = 3.2  # then a worker counts as gone
+
+
+class WorkerListed(NamedTuple):
+    """A worker is new, or its entry has changed."""
+
+    worker: Worker
+
+
+class WorkerRemoved(NamedTuple):
+    """A worker is listed no more. `left`: it will not be back."""
+
+    id: str
+    left: bool
+
+
+WorkerChange = WorkerListed | WorkerRemoved
+Broadcast = Callable[[WorkerChange], tuple[int, list[Effect]]]
 
 
 class WorkerRegistry:
-    """`tell` sends a message to all stores, and gives its number as news and the effects."""
+    """`broadcast` sends a change to all stores, and returns the update's number and the effects. Times are ms
+    of the leader's clock."""
 
-    def __init__(self, heartbeat_ms: float, tell: Callable[[dict], tuple[int, list[Effect]]]) -> None:
+    def __init__(self, heartbeat_ms: float, broadcast: Broadcast) -> None:
         self.table = WorkerTable()
-        self._silence = heartbeat_ms * MISSED
-        self._tell = tell
-        self._until: dict[str, float] = {}
-        self._departure_news: dict[tuple[str, Departure], int] = {}
-
-    def lead(self, now: float) -> None:
-        self._departure_news = {}
-        self._until = {id: now + self._silence for id in self.table.lines}
-
-    def beat(self, now: float, line: Worker) -> tuple[int, list[Effect]]:
-        """The news to be applied before the call is acknowledged, 0 for none; and what is to be told."""
-        id, drains = line.id, line.phase == DRAINING
+        self._timeout_ms = heartbeat_ms * MISSED_HEARTBEATS
+        self._broadcast = broadcast
+        self._expires_at: dict[str, float] = {}
+        self._departure_updates: dict[tuple[str, Departure], int] = {}
+
+    def become_leader(self, now: float) -> None:
+        """Workers get a whole time-out to call this leader."""
+        self._departure_updates = {}
+        self._expires_at = {id: now + self._timeout_ms for id in self.table.entries}
+
+    def heartbeat(self, now: float, entry: Worker) -> tuple[int, list[Effect]]:
+        """The update to be applied before the call is acknowledged, 0 for none; and what is to be sent."""
+        id, drains = entry.id, entry.phase == DRAINING
         if self.table.departure(now, id) is Departure.LEFT:
             return self.left(now, id) if drains else (0, [])
-        known = self.table.lines.get(id)
-        effects = self._drop_others_at(now, line.address) if known is None else []
-        if known is None or line.count >= known.count:
-            self._until[id] = now + self._silence
-        worker = self.table.put(now, line)
-        untold = drains and (id, Departure.DRAINING) not in self._departure_news
-        if known is None or untold or not _alike(known, worker):
-            effects += self._tell_worker(worker)
-        return self._departure_news[id, Departure.DRAINING] if drains else 0, effects
+        known = self.table.entries.get(id)
+        effects = self._remove_others_at(now, entry.address) if known is None else []
+        if known is None or entry.count >= known.count:
+            self._expires_at[id] = now + self._timeout_ms
+        worker = self.table.put(now, entry)
+        assert worker is not None, "only one that has left is not listed"
+        is_untold = drains and (id, Departure.DRAINING) not in self._departure_updates
+        if known is None or is_untold or not _alike(known, worker):
+            effects += self._broadcast_worker(worker)
+        return self._departure_updates[id, Departure.DRAINING] if drains else 0, effects
 
     def left(self, now: float, id: str) -> tuple[int, list[Effect]]:
-        told = self._departure_news.get((id, Departure.LEFT))
-        effects = self._drop(now, id, "left", left=True) if told is None else []
-        return self._departure_news[id, Departure.LEFT], effects
+        """A worker's last call: the update to be applied before it is acknowledged, and what is to be
+        sent."""
+        update = self._departure_updates.get((id, Departure.LEFT))
+        effects = self._remove(now, id, "left", left=True) if update is None else []
+        return self._departure_updates[id, Departure.LEFT], effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Those that have fallen silent go."""
+        """Those that have fallen silent are removed."""
         effects: list[Effect] = []
-        for id in [id for id, until in self._until.items() if now > until]:
-            effects += self._drop(now, id, "silent")
+        for id in [id for id, expires_at in self._expires_at.items() if now > expires_at]:
+            effects += self._remove(now, id, "silent")
         known = self.table.departures(now)
-        self._departure_news = {key: n for key, n in self._departure_news.items() if key[0] in known}
+        self._departure_updates = {key: n for key, n in self._departure_updates.items() if key[0] in known}
         return effects
 
     def learn(self, now: float, departed: dict[str, int]) -> list[Effect]:
@@ -70,36 +93,36 @@
         effects: list[Effect] = []
         for id, value in departed.items():
             departure = Departure(min(value, Departure.LEFT))
-            was_listed = id in self.table.lines
+            was_listed = id in self.table.entries
             if not self.table.depart(now, id, departure) or not was_listed:
                 continue
             if departure is Departure.LEFT:
-                effects += self._drop(now, id, "had left", left=True)
+                effects += self._remove(now, id, "had left", left=True)
             else:
-                effects += self._tell_worker(self.table.lines[id])
+                effects += self._broadcast_worker(self.table.entries[id])
         return effects
 
-    def _drop_others_at(self, now: float, address: str) -> list[Effect]:
-        """An address has one process: whoever had it is over."""
+    def _remove_others_at(self, now: float, address: str) -> list[Effect]:
+        """An address has one process: whoever had it has ended."""
         effects: list[Effect] = []
-        for id in [line.id for line in self.table.lines.values() if line.address == address]:
-            effects += self._drop(now, id, "its address has another life", left=True)
+        for id in [entry.id for entry in self.table.entries.values() if entry.address == address]:
+            effects += self._remove(now, id, "its address has another incarnation", left=True)
         return effects
 
-    def _tell_worker(self, worker: Worker) -> list[Effect]:
-        number, effects = self._tell({"worker": msgspec.to_builtins(worker)})
+    def _broadcast_worker(self, worker: Worker) -> list[Effect]:
+        number, effects = self._broadcast(WorkerListed(worker))
         if worker.phase == DRAINING:
-            self._departure_news.setdefault((worker.id, Departure.DRAINING), number)
-        facts = {"worker": worker.id, "phase": worker.phase, "backend": worker.backend, "n": number}
-        return [*effects, Said("worker", facts)]
+            self._departure_updates.setdefault((worker.id, Departure.DRAINING), number)
+        fields = {"worker": worker.id, "phase": worker.phase, "backend": worker.backend, "n": number}
+        return [*effects, LogEvent("worker", fields)]
 
-    def _drop(self, now: float, id: str, why: str, left: bool = False) -> list[Effect]:
+    def _remove(self, now: float, id: str, why: str, left: bool = False) -> list[Effect]:
         self.table.remove(now, id, left)
-        self._until.pop(id, None)
-        number, effects = self._tell({"gone": id, "left": left})
+        self._expires_at.pop(id, None)
+        number, effects = self._broadcast(WorkerRemoved(id, left))
         if left:
-            self._departure_news[id, Departure.LEFT] = number
-        return [*effects, Said("worker_gone", {"worker": id, "why": why, "n": number})]
+            self._departure_updates[id, Departure.LEFT] = number
+        return [*effects, LogEvent("worker_gone", {"worker": id, "why": why, "n": number})]
 
 
 def _alike(one: Worker, other: Worker) -> bool:
--- a/sableford/edge/message_fields.py
+++ b/sableford/edge/message_fields.py
@@ -8,15 +8,17 @@
 
 # Digits of ASCII, with a fraction or a small exponent as programs print them: no sign, "inf", "nan" or "1_0".
 NUMBER = re.compile(r"[0-9]{1,10}(\.[0-9]{0,20})?([eE][+-]?[0-9]{1,2})?")
-MOST_MS = 1e9  # eleven days: longer than anything is kept
-ONCE = (b"host", b"attempt-id", b"order-key", b"delay-ms", b"deadline-ms", b"content-type")
+MAX_MS = 1e9  # eleven days: longer than anything is kept
+AT_MOST_ONCE = (b"host", b"attempt-id", b"order-key", b"delay-ms", b"deadline-ms", b"content-type")
 
 
-class BadField(ValueError):
+class FieldError(ValueError):
     """A request that can't be taken for what it says in a field; the text names it."""
 
 
 class MessageFields(NamedTuple):
+    """What a client says of its message, beside the message."""
+
     id: str
     host: str
     key: str  # empty where its route keeps no order, or it names none
@@ -26,21 +28,21 @@
 
 
 def host_of(request: Request) -> str:
-    """Raises BadField."""
-    for name in ONCE:
+    """The request's host. Raises FieldError."""
+    for name in AT_MOST_ONCE:
         if request.count(name) > 1:
-            raise BadField(f"{name.decode().title()} is given more than once")
+            raise FieldError(f"{name.decode().title()} is given more than once")
     host = request.get(b"host")
     if not host:
-        raise BadField("a Host is wanted")
+        raise FieldError("a Host is wanted")
     return host
 
 
 def fields_of(request: Request, route: Route) -> MessageFields:
-    """Raises BadField."""
+    """All fields of a message. Raises FieldError."""
     id = request.get(b"attempt-id")
     if not id:
-        raise BadField("an Attempt-Id is wanted")
+        raise FieldError("an Attempt-Id is wanted")
     return MessageFields(
         id,
         host_of(request),
@@ -52,7 +54,7 @@
 
 
 def milliseconds(request: Request, name: bytes, otherwise: float) -> float:
-    """The number in a field; `otherwise` where there is none. Raises BadField.
+    """The number in a field; `otherwise` where there is none. Raises FieldError.
 
     >>> milliseconds(Request("POST", b"/", [(b"delay-ms", b"1500.5")], b"", True), b"delay-ms", 0.0)
     1500.5
@@ -60,7 +62,7 @@
     text = (request.get(name) or "").strip(" \t")
     if not text:
         return otherwise
-    value = float(text) if NUMBER.fullmatch(text) else MOST_MS
-    if value >= MOST_MS:
-        raise BadField(f"{name.decode().title()} is not a number of ms: {text!r}")
+    value = float(text) if NUMBER.fullmatch(text) else MAX_MS
+    if value >= MAX_MS:
+        raise FieldError(f"{name.decode().title()} is not a number of ms: {text!r}")
     return value
--- a/sableford/fleet/actor.py
+++ b/sableford/fleet/actor.py
@@ -16,6 +16,7 @@
 
 import msgspec
 
+from sableford.common.serial_executor import SerialExecutor
 from sableford.fleet.membership import words as member_words
 from sableford.fleet.membership.core import Changed, Members, Twin
 from sableford.fleet.record import core as record_core
@@ -25,7 +26,6 @@
 from sableford.fleet.record.store import Found, Store
 from sableford.fleet.seat import Seat
 from sableford.fleet.words import Post
-from sableford.net.hand import Hand
 from sableford.net.limits import Limits
 from sableford.net.log import Log
 from sableford.net.mail import Asked, Clock, FleetSeen, Leave, Mailbox, Say, Word
@@ -82,7 +82,7 @@
         kinds = member_words.Words | record_words.Words | Told
         self._post = Post(seat.name, self._birth, kinds)
         self._line: asyncio.DatagramTransport | None = None
-        self._hand = Hand("record")
+        self._file_calls = SerialExecutor("record")
         self._store: Store | None = None
         self._members: Members | None = None
         self._record: Record | None = None
@@ -245,7 +245,7 @@
                 problem = future.exception()
                 self.mail.put(_Opened(None if problem else future.result(), repr(problem) if problem else ""))
 
-        self._hand.do("open", work).add_done_callback(done)
+        self._file_calls.submit("open", work).add_done_callback(done)
 
     def _begin(self, now: float, found: Found | None, problem: str) -> None:
         self._opening, self._try_at = False, now + REWRITE
@@ -277,7 +277,7 @@
                 problem = future.exception()
                 self.mail.put(_Stored(batch[-1].number, str(problem) if problem else ""))
 
-        self._hand.do("keep", lambda: store.keep(deeds)).add_done_callback(done)
+        self._file_calls.submit("keep", lambda: store.keep(deeds)).add_done_callback(done)
 
     def _stored(self, now: float, number: int, problem: str) -> None:
         self._keeping = False
--- a/sableford/net/berth.py
+++ b/sableford/net/berth.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
+from sableford.common.serial_executor import SerialExecutor
 from sableford.fleet.seat import Seat, read_seat
 from sableford.intake.charter import Charter, amended, read_charter
 from sableford.net import wire
-from sableford.net.hand import Hand
 from sableford.net.limits import Limits, granted
 from sableford.net.log import Log
 from sableford.net.mail import Mailbox, Renew, Share
@@ -78,7 +78,7 @@
     def __init__(
         self, path: str, log: Log, processes: int = 1, talk: bool = False, fleet: bool = False
     ) -> None:
-        self.mail, self._talk, self._fleet, self._hand = Mailbox(), talk, fleet, Hand("file")
+        self.mail, self._talk, self._fleet, self._file_calls = Mailbox(), talk, fleet, SerialExecutor("file")
         self._path, self._log, self._processes = path, log, processes
 
     async def run(self, berth: Berth, others: tuple[Mailbox, ...]) -> None:
@@ -134,7 +134,7 @@
 
     def _ask(self) -> None:
         """Read by the hand: a disk that is slow over it holds up nobody."""
-        future = self._hand.do("file", lambda: read_berth(self._path, self._talk, self._fleet))
+        future = self._file_calls.submit("file", lambda: read_berth(self._path, self._talk, self._fleet))
 
         def done(read: asyncio.Future) -> None:
             if not read.cancelled():
--- a/sableford/net/cli.py
+++ b/sableford/net/cli.py
@@ -14,12 +14,13 @@
 import click
 
 import sableford
+from sableford.common.log_writer import LogWriter
 from sableford.net.berth import Berth, Keeper, Reread, read_berth
 from sableford.net.console import Console
 from sableford.net.desk import Desk
 from sableford.net.gate import Gate
 from sableford.net.handover import Handover
-from sableford.net.log import Aside, Log
+from sableford.net.log import Log
 from sableford.net.mail import Clock, Leave, Mailbox, Turn
 from sableford.net.peers import Peers
 from sableford.net.roster import Roster, first_list, inherited
@@ -162,7 +163,7 @@
     On SIGHUP the file is read again: discovery's address and the limits take effect at once, a bad file
     changes nothing, and what else changed is logged as needing a restart.
     """
-    sink = Aside(sys.__stdout__.fileno())
+    sink = LogWriter(sys.__stdout__.fileno())
     try:
         berth = read_berth(config, talk, fleet)
         gc.freeze()
--- a/sableford/net/handover.py
+++ b/sableford/net/handover.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from sableford.common.serial_executor import SerialExecutor
 from sableford.net import pact
 from sableford.net.folder import Folder
-from sableford.net.hand import Hand
 from sableford.net.limits import Limits
 from sableford.net.log import Log
 from sableford.net.mail import Beside, Clock, Kept, Leave, Mailbox, Rule, Ruling, Share, Turn
@@ -42,7 +42,7 @@
         self.mail = Mailbox()
         self._clock, self._limits, self._log = clock, limits, log
         self._folder: Folder | None = None
-        self._hand = Hand("handover")
+        self._file_calls = SerialExecutor("handover")
         self._born = clock.now()
         self._token = f"{self._born:.0f}-{os.urandom(4).hex()}"
         self._rules: dict[str, Rule] = {}
@@ -130,7 +130,7 @@
             return
         self._looking, asked = True, self._clock.now()
         folder, beat = self._folder, self._limits.beat
-        future = self._hand.do("look", lambda: folder.look(beat))
+        future = self._file_calls.submit("look", lambda: folder.look(beat))
 
         def looked(done: asyncio.Future[Any]) -> None:
             if not done.cancelled():
@@ -150,7 +150,7 @@
         if self._kept is not None:
             word.listing, word.legacy = msgspec.Raw(self._kept.listing), self._kept.legacy
         folder, asked = self._folder, self._clock.now()
-        future = self._hand.do("write", lambda: folder.write(word))
+        future = self._file_calls.submit("write", lambda: folder.write(word))
 
         def written(done: asyncio.Future[Any]) -> None:
             if not done.cancelled():
@@ -218,4 +218,6 @@
         """At a clean end the last word goes out and stays: who lives reads it once the lock is let go, then
         removes it. Removed here, a call by hand of the last moments went with it."""
         if self._folder is not None:
-            await asyncio.wait([self._hand.do("close", lambda: None)], timeout=self._limits.sure / 1000.0)
+            await asyncio.wait(
+                [self._file_calls.submit("close", lambda: None)], timeout=self._limits.sure / 1000.0
+            )
--- a/sableford/node/__init__.py
+++ b/sableford/node/__init__.py
@@ -1,1 +1,1 @@
-"""Trailhead, where each way begins: the one program of the system, its settings, its log, its runtime."""
+"""The program of the system's machines: its command line, and what every process does besides its role."""
--- a/sableford/node/cli.py
+++ b/sableford/node/cli.py
@@ -11,8 +11,8 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
-from sableford.node import settings as settings_file
-from sableford.node.settings import Settings, SettingsError
+from sableford.common import settings as settings_file
+from sableford.common.settings import Settings, SettingsError
 
 
 def _serve(role: str, file: Path, settings: Settings) -> None:
@@ -83,13 +83,13 @@
             if self.option("configuration"):
                 import orjson
 
-                from sableford.control.orders import Invalid, check
+                from sableford.control.configuration import InvalidRequestError, check
 
                 try:
                     found = check(orjson.loads(file.read_bytes()))
                 except OSError as problem:
                     raise SettingsError(f"{file}: {problem.strerror}") from None
-                except (Invalid, orjson.JSONDecodeError) as problem:
+                except (InvalidRequestError, orjson.JSONDecodeError) as problem:
                     raise SettingsError(f"{file}: {problem}") from None
                 self.line(
                     f"revision {found.revision}: {len(found.routes)} routes, {len(found.backends)} backends"
--- a/sableford/node/runtime.py
+++ b/sableford/node/runtime.py
@@ -1,149 +1,157 @@
-"""What every process of the system does besides its duty: the inner address, held links, its signals, its
-settings while they change."""
+"""What every process of the system does besides its role: the inner address, held links, its signals, its
+settings while they change.
+"""
 
 import asyncio
 import os
 import signal
-from collections.abc import Callable
+from collections.abc import Coroutine
 from pathlib import Path
-from typing import Any
-
-import msgspec
+from typing import Any, NamedTuple
 
+from sableford.common.log import Log
+from sableford.common.serial_executor import SerialExecutor
+from sableford.common.settings import Settings, SettingsError, read
 from sableford.control.member_client import MemberClient
-from sableford.net.hand import Hand
-from sableford.node.log import Log
-from sableford.node.settings import Settings, SettingsError, read
-from sableford.transport.links import UNKNOWN, Hello, Link, LinkPool
+from sableford.control.protocol import MemberStatus, Update
+from sableford.control.view import Number
+from sableford.transport.link import IncomingMessage
+from sableford.transport.link_pool import LinkPool
+from sableford.transport.messages import PROTOCOL_VERSION, HelloRequest
+from sableford.transport.peer_server import PeerServer
+
+SETTINGS_CHECK_S = 2.0  # between two looks at the settings file
+FIXED_SETTINGS = ("bind_ip", "port_range", "bind_addrs", "data_dir")  # a change needs a restart
+
+
+class StoreStatus(NamedTuple):
+    """What a store tells the leader beside what all members do; see `protocol.MemberStatus`."""
+
+    complete: bool = True
+    empty: bool = False
+    full: bool = False
+    audits: dict[str, str] = {}  # noqa: RUF012  (read only)
+    safe: Number = (0, 0)
+    safe_without_leaving: Number = (0, 0)
+
+
+class _FileIdentity(NamedTuple):
+    """By which a change of the settings file is noticed."""
 
-LOOK_S = 2.0  # between two looks at the settings file
-LAG_S = 5.0  # the loop was late by so much: said in the log
+    modified_ns: int
+    size: int
+    inode: int
 
 
 class Runtime:
-    """One process. `ops` maps the first word of a frame to who takes it."""
+    """One process of a role: "edge" or "store". Others register with `peer_server` and `member` what they
+    handle, then call `listen`; `ending` is set once the process is to end."""
 
     def __init__(self, settings: Settings, file: Path, role: str) -> None:
         self.settings, self.file, self.role = settings, file, role
-        self.birth = os.urandom(6).hex()
+        self.incarnation = os.urandom(6).hex()
         self.me = settings.bind_ip
         self.port = settings.port_range[0]
         self.log = Log(settings.node_name)
         self.loop = asyncio.get_running_loop()
-        self.ops: dict[str, Callable[[Link, dict, bytes], None]] = {}
-        self.accepted: set[Link] = set()
         self.ending = asyncio.Event()
-        self.said: dict[str, Any] = {}  # what else this process says of itself to the leader
-        hello = {"op": "hello", "name": self.me, "birth": self.birth, "role": role, "v": 1}
-        self.links = LinkPool(hello, self.port, self.heard)
-        self.member = MemberClient(self.links, self.me, self.about, lambda: self.settings.seeds, self.log)
-        self.ops["hello"] = self._hello
-        self.ops["news"] = lambda link, head, raw: self.member.news(link, head)
-        self._server: asyncio.Server | None = None
-        self._hand = Hand("settings")
-        self._mark: tuple | None = None
-        self._tasks: set[asyncio.Task] = set()
-        self.loop.set_exception_handler(self._unforeseen)
+        self.store_status = StoreStatus()
+        self.peer_server = PeerServer(self.me, self.incarnation, self.log)
+        hello = HelloRequest(self.me, self.incarnation, role, PROTOCOL_VERSION)
+        self.links = LinkPool(hello, self.port, self.peer_server.receive)
+        self.member = MemberClient(self.links, self.me, self.status, lambda: self.settings.seeds, self.log)
+        self.peer_server.handle(Update, self._update)
+        self._file_calls = SerialExecutor("settings")
+        self._file_identity: _FileIdentity | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+        self.loop.set_exception_handler(self._log_unhandled)
 
     def now(self) -> float:
+        """ms of the loop's clock."""
         return self.loop.time() * 1000.0
 
-    def about(self) -> dict:
-        return {
-            "birth": self.birth,
-            "role": self.role,
-            "zone": self.settings.zone,
-            "node": self.settings.node_name,
-            "control": self.settings.bind_addrs.control_rpc or "",
-            "leaving": self.ending.is_set(),
-            **self.said,
-        }
+    def status(self) -> MemberStatus:
+        """What this process says of itself to the leader."""
+        return MemberStatus(
+            incarnation=self.incarnation,
+            role=self.role,
+            zone=self.settings.zone,
+            node=self.settings.node_name,
+            control=self.settings.bind_addrs.control_rpc or "",
+            leaving=self.ending.is_set(),
+            **self.store_status._asdict(),
+        )
+
+    def _update(self, incoming: IncomingMessage[Update]) -> None:
+        self.member.apply_update(incoming.link, incoming.message)
 
     async def listen(self) -> None:
-        """The inner address, and the signals; from here on a refused dial proves that this life is over."""
-        self._server = await self.loop.create_server(self._accept, self.me, self.port, backlog=512)
-        for sign in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(sign, self.end)
-        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.task(self._reread(True)))
-        self.task(self.member.run())
-        self.task(self._watch())
-        self.log.say("up", role=self.role, birth=self.birth, pid=os.getpid())
+        """The inner address, and the signals; from here on a refused dial proves that this process has
+        ended."""
+        await self.peer_server.listen(self.port)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(number, self.end)
+        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.spawn(self._read_settings(forced=True)))
+        self.spawn(self.member.run())
+        self.spawn(self._watch_settings())
+        self.log.event("up", role=self.role, birth=self.incarnation, pid=os.getpid())
 
     def end(self) -> None:
+        """The process is to end: others are told at once."""
         if not self.ending.is_set():
             self.ending.set()
-            self.log.say("ending")
+            self.log.event("ending")
             self.member.renew_now()
 
-    def task(self, work: Any) -> asyncio.Task:
+    # Tasks
+
+    def spawn(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
+        """Runs a task of the process's own; one that fails is logged and ends alone."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._over)
+        task.add_done_callback(self._task_ended)
         return task
 
-    def _over(self, task: asyncio.Task) -> None:
+    def _task_ended(self, task: "asyncio.Task[None]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (problem := task.exception()) is not None:
-            self._unforeseen(self.loop, {"message": "a task failed", "exception": problem})
+            self._log_unhandled(self.loop, {"message": "a task failed", "exception": problem})
 
-    def _unforeseen(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
-        """A part that fails ends alone, and says so."""
+    def _log_unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """With the place in the code where it was raised."""
         problem = context.get("exception")
-        at = ""
+        place = ""
         if problem is not None and problem.__traceback__ is not None:
-            last = problem.__traceback__
-            while last.tb_next is not None:
-                last = last.tb_next
-            at = f"{last.tb_frame.f_code.co_filename}:{last.tb_lineno}"
-        self.log.say("unforeseen", what=context.get("message"), problem=repr(problem), at=at)
-
-    def _accept(self) -> Link:
-        link = Link(self.heard, self.accepted.discard)
-        self.accepted.add(link)
-        return link
-
-    def heard(self, link: Link, head: dict, raw: bytes) -> None:
-        if link in self.accepted and not link.birth and head.get("op") != "hello":
-            self.log.say("hello_missing", op=head.get("op"))
-            link.drop()  # nobody's: it could be answered, but not ascribed
-            return
-        take = self.ops.get(head.get("op", ""))
-        if take is None:
-            self.log.say("word_unknown", op=head.get("op"), sender=link.peer)
-            link.answer(head, {"no": UNKNOWN})
-            return
-        take(link, head, raw)
+            innermost = problem.__traceback__
+            while innermost.tb_next is not None:
+                innermost = innermost.tb_next
+            place = f"{innermost.tb_frame.f_code.co_filename}:{innermost.tb_lineno}"
+        self.log.event("unforeseen", what=context.get("message"), problem=repr(problem), at=place)
 
-    def _hello(self, link: Link, head: dict, raw: bytes) -> None:
-        said = msgspec.convert(head, Hello)
-        if not link.introduce(said.name, said.birth):
-            self.log.say("hello_refused", sender=link.peer, name=said.name)
-            link.drop()
-            return
-        link.answer(head, {"birth": self.birth, "name": self.me, "v": 1})
+    # Settings
 
-    async def _watch(self) -> None:
+    async def _watch_settings(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
-            await self._reread(False)
+            await asyncio.sleep(SETTINGS_CHECK_S)
+            await self._read_settings(forced=False)
 
-    async def _reread(self, told: bool) -> None:
-        """The settings as they are now; a bad file leaves the old ones in force."""
-
-        def look() -> tuple:
-            stat = self.file.stat()
-            mark = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
-            return (mark, None) if mark == self._mark and not told else (mark, read(self.file))
+    def _load_settings(self, forced: bool) -> tuple[_FileIdentity, Settings | None]:
+        """The file's identity, and its settings if they may have changed. Not on the event loop."""
+        stat = self.file.stat()
+        identity = _FileIdentity(stat.st_mtime_ns, stat.st_size, stat.st_ino)
+        is_unchanged = identity == self._file_identity and not forced
+        return identity, None if is_unchanged else read(self.file)
 
+    async def _read_settings(self, forced: bool) -> None:
+        """The settings as they are now; a bad file leaves the old ones in force."""
         try:
-            mark, settings = await self._hand.do("read", look)
+            identity, settings = await self._file_calls.submit("read", lambda: self._load_settings(forced))
         except (SettingsError, OSError) as problem:
-            self.log.say("settings_refused", problem=str(problem), kept=True)
+            self.log.event("settings_refused", problem=str(problem), kept=True)
             return
-        self._mark = mark
+        self._file_identity = identity
         if settings is None or settings == self.settings:
             return
-        fixed = ("bind_ip", "port_range", "bind_addrs", "data_dir")
-        held = [name for name in fixed if getattr(settings, name) != getattr(self.settings, name)]
-        self.settings = settings
-        self.log.say("settings_read", need_restart=held)
+        before, self.settings = self.settings, settings
+        need_restart = [name for name in FIXED_SETTINGS if getattr(settings, name) != getattr(before, name)]
+        self.log.event("settings_read", need_restart=need_restart)
--- a/sableford/scale/choice_cost.py
+++ b/sableford/scale/choice_cost.py
@@ -12,7 +12,7 @@
 
 from sableford.scale.fit import percentile
 from sableford.scale.settings import ChoiceCost
-from sableford.store.choice import Choice, Line
+from sableford.store.choice import Choice, WorkerEntry
 
 BACKEND = "service"
 ZONE = "zone-1"
@@ -52,7 +52,9 @@
         for at, known in enumerate(self.known):
             choice = Choice(ZONE, f"decider-{at}")
             for worker in known:
-                line = Line(f"{worker}", BACKEND, "10.0.0.1", 8080, ZONE, plan.capacity, worker not in down)
+                line = WorkerEntry(
+                    f"{worker}", BACKEND, "10.0.0.1", 8080, ZONE, plan.capacity, worker not in down
+                )
                 choice.workers[line.id] = _known(line)
             choice._sort()
             self.deciders.append(choice)
@@ -78,7 +80,7 @@
                 self.told_counts += len(counts)
 
 
-def _known(line: Line):
+def _known(line: WorkerEntry):
     from sableford.store.choice import Worker
 
     return Worker(line, 0.0)
@@ -113,7 +115,7 @@
         if worker is None:
             none += warm
             continue
-        place = int(worker.line.id)
+        place = int(worker.entry.id)
         if warm:
             collisions += in_flight[place] >= plan.capacity
             errors.append(abs(worker.jobs() - in_flight[place]))
--- a/sableford/scale/counting.py
+++ b/sableford/scale/counting.py
@@ -1,13 +1,16 @@
-"""A held link that counts its frames and bytes by kind; hollow processes use it for `links.Link`."""
+"""A held link that counts its frames and bytes by kind; hollow processes use it for `link.Link`."""
 
 import asyncio
 from collections import Counter
 from typing import Any
 
+import msgspec
 import orjson
 
-from sableford.transport import links
-from sableford.transport.frames import Frames
+from sableford.transport import link_pool
+from sableford.transport.frames import Frame, FrameReader
+from sableford.transport.link import Link
+from sableford.transport.messages import PeerMessage, PeerResponse
 
 PARTS = ("config", "view", "workers", "worker", "gone")  # what a piece of news carries
 
@@ -50,17 +53,17 @@
 TALLY = Tally()  # one a process: links are made deep inside the pool
 
 
-class _CountedFrames(Frames):
+class _CountedFrames(FrameReader):
     __slots__ = ()
 
-    def feed(self, data: bytes) -> list[tuple[dict, bytes]]:
+    def feed(self, data: bytes) -> list[Frame]:
         TALLY.bytes_received += len(data)
         found = super().feed(data)
-        for head, _ in found:
-            kind = kind_of(head)
+        for frame in found:
+            kind = kind_of(orjson.loads(frame.head))
             TALLY.received[kind] += 1
-            if head.get("op") == "news":
-                TALLY.news_bytes[kind] += len(orjson.dumps(head))
+            if frame.envelope.operation == "news":
+                TALLY.news_bytes[kind] += len(frame.head)
         return found
 
 
@@ -78,19 +81,23 @@
         return getattr(self._transport, name)
 
 
-class CountedLink(links.Link):
+class CountedLink(Link):
     def __init__(self, *given: Any, **named: Any) -> None:
         super().__init__(*given, **named)
-        self._frames = _CountedFrames()
+        self._reader = _CountedFrames()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         super().connection_made(_CountedTransport(transport))
 
-    def send(self, head: dict, raw: bytes = b"") -> bool:
-        TALLY.sent[kind_of(head)] += 1
-        return super().send(head, raw)
+    def send(self, message: PeerMessage, body: bytes = b"") -> bool:
+        TALLY.sent[kind_of(msgspec.to_builtins(message))] += 1
+        return super().send(message, body)
+
+    def send_response(self, call_number: int, response: PeerResponse, body: bytes = b"") -> bool:
+        TALLY.sent["answer"] += 1
+        return super().send_response(call_number, response, body)
 
 
 def install() -> None:
     """From now on the pools of this process make counted links."""
-    links.Link = CountedLink
+    link_pool.Link = CountedLink
--- a/sableford/scale/hollow_member.py
+++ b/sableford/scale/hollow_member.py
@@ -9,13 +9,28 @@
 import os
 import random
 import time
+from collections.abc import Callable
 from typing import Any
 
 from sableford.control.member_client import MemberClient
+from sableford.control.protocol import MemberStatus, Update
 from sableford.control.view import View
 from sableford.scale import child, counting
 from sableford.scale.cluster import INNER, ZONES
-from sableford.transport.links import LinkPool
+from sableford.store.protocol import (
+    Confirmation,
+    FinalStatesRequest,
+    FinalStatesResponse,
+    LookupRequest,
+    LookupResponse,
+    PullRequest,
+    PullResponse,
+)
+from sableford.transport.frames import Frame
+from sableford.transport.link import IncomingMessage, Link, decode_message
+from sableford.transport.link_pool import LinkPool
+from sableford.transport.messages import PROTOCOL_VERSION, HelloRequest, HelloResponse, PeerMessage
+from sableford.transport.peer_server import operation_of
 
 JOINS_MS = 300.0  # all of a group begin within so long, as machines of one start do
 
@@ -23,7 +38,7 @@
 class _Silent:
     """What a member says of itself goes nowhere."""
 
-    def say(self, event: str, **facts: Any) -> None:
+    def event(self, name: str, /, **fields: Any) -> None:
         pass
 
 
@@ -32,8 +47,8 @@
 
     seeds: frozenset[str] = frozenset()
 
-    def want(self, names: set[str]) -> None:
-        super().want(names & self.seeds)
+    def set_peers(self, names: set[str]) -> None:
+        super().set_peers(names & self.seeds)
 
 
 class HollowMember:
@@ -44,8 +59,8 @@
 
     async def begin(self) -> None:
         """A new life."""
-        self.birth = os.urandom(6).hex()
-        hello = {"op": "hello", "name": self.name, "birth": self.birth, "role": self.role, "v": 1}
+        self.incarnation = os.urandom(6).hex()
+        hello = HelloRequest(self.name, self.incarnation, self.role, PROTOCOL_VERSION)
         self._pool = _SeedPool(hello, INNER, self._heard)
         self._pool.seeds = self._group.seeds
         if self.role == "store":
@@ -54,46 +69,59 @@
                 lambda: counting.CountedLink(self._heard), self.name, INNER, backlog=512
             )
         self.client = MemberClient(
-            self._pool, self.name, self._about, lambda: sorted(self._group.seeds), _Silent()
+            self._pool, self.name, self._status, lambda: sorted(self._group.seeds), _Silent()
         )
-        self.client.on_config.append(lambda config: self._group.applied(config["revision"]))
+        self.client.on_config.append(lambda config: self._group.applied(config.revision))
         self.client.on_worker.append(lambda id: self._group.worker_applied(id))
         self._task = asyncio.get_running_loop().create_task(self.client.run())
 
-    def _about(self) -> dict:
-        said = {"birth": self.birth, "role": self.role, "zone": self.zone, "node": self.name}
-        said |= {"control": "", "leaving": False}
-        if self.role == "store":
-            number = list(self.client.view.number)
-            said |= {"whole": True, "empty": True, "audits": {}, "safe": number, "spares": number}
-        return said
-
-    def _heard(self, link: Any, head: dict, raw: bytes) -> None:
-        match head.get("op"):
-            case "news":
-                self.client.news(link, head)
-            case "hello":
-                link.peer, link.birth = head["name"], head["birth"]
-                link.answer(head, {"birth": self.birth, "v": 1})
-            case "pull":
-                nothing = {"whole": True, "refs": [], "out": [], "tries": {}, "shards": head["shards"]}
-                link.answer(head, nothing)
-            case "settle":
-                link.answer(head, {"ends": {}})
-            case "seek":
-                link.answer(head, {"end": None, "held": False})
-            case _:
-                link.answer(head, {"yes": False})
+    def _status(self) -> MemberStatus:
+        is_store = self.role == "store"
+        number = self.client.view.number if is_store else (0, 0)
+        return MemberStatus(
+            incarnation=self.incarnation,
+            role=self.role,
+            zone=self.zone,
+            node=self.name,
+            empty=is_store,
+            safe=number,
+            safe_without_leaving=number,
+        )
+
+    def _heard(self, link: Link, frame: Frame) -> None:
+        handle = self._handlers().get(frame.envelope.operation)
+        if handle is not None:
+            message_type, handler = handle
+            message = decode_message(message_type, frame)
+            handler(IncomingMessage(link, message, frame.body, frame.envelope.call_number))
+        elif frame.envelope.call_number is not None:
+            link.send_response(frame.envelope.call_number, Confirmation(False))
+
+    def _handlers(self) -> dict[str, tuple[type[PeerMessage], Callable[[IncomingMessage[Any]], object]]]:
+        handlers = {
+            HelloRequest: self._hello,
+            Update: lambda incoming: self.client.apply_update(incoming.link, incoming.message),
+            PullRequest: lambda incoming: incoming.respond(
+                PullResponse(True, [], [], {}, incoming.message.shards)
+            ),
+            FinalStatesRequest: lambda incoming: incoming.respond(FinalStatesResponse({})),
+            LookupRequest: lambda incoming: incoming.respond(LookupResponse()),
+        }
+        return {operation_of(one): (one, handler) for one, handler in handlers.items()}
+
+    def _hello(self, incoming: IncomingMessage[HelloRequest]) -> None:
+        incoming.link.identify(incoming.message.name, incoming.message.incarnation)
+        incoming.respond(HelloResponse(self.incarnation, version=PROTOCOL_VERSION))
 
     async def end(self) -> None:
         self._task.cancel()
-        self._pool.want(set())
+        self._pool.set_peers(set())
         if self._server is not None:
             self._server.close()
         self.client.view = View()
 
     def joined(self) -> bool:
-        return bool(self.client.leader) and self.client.valid() and self.client.config is not None
+        return bool(self.client.leader) and self.client.holds_lease() and self.client.config is not None
 
 
 class Group:
@@ -150,7 +178,7 @@
         return {
             "joined": sum(member.joined() for member in self.members),
             "leaders": leaders,
-            "revisions": sorted({(m.client.config or {}).get("revision", 0) for m in self.members}),
+            "revisions": sorted({m.client.config.revision if m.client.config else 0 for m in self.members}),
             "workers": max((len(m.client.workers) for m in self.members), default=0),
         }
 
--- a/sableford/scale/queue_state.py
+++ b/sableford/scale/queue_state.py
@@ -8,23 +8,26 @@
 import time
 from pathlib import Path
 
-import orjson
+import msgspec
 
+from sableford.common.disk import Disk
 from sableford.control.view import SHARDS, StoreInfo, View, ref_of, shard_of
 from sableford.scale.meters import reading
 from sableford.scale.operator import LIMITS, route, service
 from sableford.scale.settings import QueueState
 from sableford.store.choice import Choice
-from sableford.store.disk import Disk
-from sableford.store.messages import End, Message
+from sableford.store.message_storage import Clocks, decode_message, encode_message
+from sableford.store.messages import Message
+from sableford.store.protocol import FinalState, MessageHeader, PullRequest, PutRequest
 from sableford.store.queue import Queue
-from sableford.transport.frames import Frames, frame
+from sableford.transport.frames import encode_frame
 from sableford.transport.routes import Table
 
 ME, OTHER = "10.0.0.1", "10.0.0.2"
 DISK_MOST = 20_000  # messages written to disk for a slope: more only fills the machine's disk
 BATCH = 400  # writes given to the disk at once
 ROUTES = 20
+CLOCKS = Clocks(1e6, 1e6)  # of the messages on disk: nothing depends on them
 
 
 def jobs(plan: QueueState) -> list:
@@ -53,44 +56,60 @@
     }
     queue = Queue(ME, "b1", 1, Table(1, document), Choice("zone-1", "s"), 120.0, True)
     stores = {ME: StoreInfo("b1", "zone-1"), OTHER: StoreInfo("b2", "zone-2")}
-    queue.view = View((1, 1), [ME] * SHARDS, ["b1"] * SHARDS, [(1, 1)] * SHARDS, stores, [ME, OTHER])
-    queue.owned = {at: (1, 1) for at in range(SHARDS)}
-    queue.lease = float("inf")
+    queue.state.view = View((1, 1), [ME] * SHARDS, ["b1"] * SHARDS, [(1, 1)] * SHARDS, stores, [ME, OTHER])
+    queue.state.owned = {at: (1, 1) for at in range(SHARDS)}
+    queue.state.lease = float("inf")
     return queue
 
 
-def _head(place: int, chance: random.Random) -> dict:
+def _put(place: int, chance: random.Random) -> PutRequest:
     """As an edge puts one; a third have an order key."""
     id = f"{chance.getrandbits(64):016x}"
     key = f"key-{place}" if place % 3 == 0 else ""
     shard = shard_of(key) if key else place % SHARDS
     given = route(place % ROUTES, 1500)
-    return {
-        "op": "put",
-        "id": id,
-        "key": key,
-        "host": given["hostname"],
-        "target": given["pathPrefix"] + f"{place}",
-        "method": "POST",
-        "type": "application/octet-stream",
-        "delay": 0.0,
-        "age": 1.0,
-        "revision": 1,
-        "again": False,
-        "shard": shard,
-        "ref": ref_of(shard, id),
-    }
+    return PutRequest(
+        id=id,
+        key=key,
+        host=given["hostname"],
+        target=given["pathPrefix"] + f"{place}",
+        method="POST",
+        content_type="application/octet-stream",
+        delay_ms=0.0,
+        age_ms=1.0,
+        revision=1,
+        shard=shard,
+        ref=ref_of(shard, id),
+    )
+
+
+def _message(place: int, chance: random.Random, body: bytes) -> Message:
+    """As a store keeps one."""
+    put = _put(place, chance)
+    header = MessageHeader(
+        ref=put.ref,
+        shard=put.shard,
+        key=put.key,
+        id=put.id,
+        host=put.host,
+        target=put.target,
+        method=put.method,
+        revision=put.revision,
+        position=((1, 1), place),
+        content_type=put.content_type,
+    )
+    return Message(header, body, 1.0, 1.0)
 
 
 def _fill(queue: Queue, count: int, body_bytes: int, with_body: bool, chance: random.Random) -> None:
     """Accepted by this store, kept here and at another; no worker is known, so all of it waits."""
     for place in range(count):
-        head = _head(place, chance)
-        queue.put(1.0, head, chance.randbytes(body_bytes), None)
-        queue.kept(1.0, "m", head["ref"], "")
-        queue.copied(1.0, head["ref"], OTHER, True)
+        put = _put(place, chance)
+        queue.put(1.0, put, chance.randbytes(body_bytes), None)
+        queue.message_written(1.0, put.ref)
+        queue.message_copied(1.0, put.ref, OTHER, True)
         if not with_body:
-            queue.held[head["ref"]].body = None
+            queue.state.messages[put.ref].body = None
 
 
 def memory_of(count: int, body_bytes: int, with_body: bool, ends: bool, seed: int) -> dict:
@@ -102,28 +121,33 @@
         for place in range(count):
             shard = place % SHARDS
             ref = ref_of(shard, f"{chance.getrandbits(64):016x}")
-            queue.ends[ref] = End(
+            queue.state.final_states[ref] = FinalState(
                 "complete", f"3e1b.07.5a2.600.0.{chance.getrandbits(32):08x}", "", 1e12 + place
             )
     else:
         _fill(queue, count, body_bytes, with_body, chance)
     gc.collect()
-    out = {"rss_bytes": reading(os.getpid()).rss - before, "held": len(queue.held) + len(queue.ends)}
+    out = {
+        "rss_bytes": reading(os.getpid()).rss - before,
+        "held": len(queue.state.messages) + len(queue.state.final_states),
+    }
     out["collection_s"] = _cpu(gc.collect)
     if not ends:
         out["look_s"] = _cpu(lambda: _look(queue))
         out["tick_s"] = _cpu(lambda: queue.tick(2.0, 2.0))
-        out["see_s"] = _cpu(lambda: queue.see(2.0, queue.view))
-        refs = list(queue.held)
-        out["pull_have_bytes"] = len(frame({"op": "pull", "shards": list(range(SHARDS)), "have": refs}))
-        out["pulled_by_s"] = _cpu(lambda: queue.pulled_by(2.0, list(range(SHARDS)), [], True))
+        out["see_s"] = _cpu(lambda: queue.apply_view(2.0, queue.state.view))
+        refs = list(queue.state.messages)
+        out["pull_have_bytes"] = len(
+            encode_frame(msgspec.json.encode(PullRequest(list(range(SHARDS)), refs, True)))
+        )
+        out["pulled_by_s"] = _cpu(lambda: queue.answer_pull(PullRequest(list(range(SHARDS)), [], True)))
     return out
 
 
 def _look(queue: Queue) -> None:
-    """What a store asks of its queue twice a second (`StoreServer._slow`)."""
+    """What a store asks of its queue twice a second (`StoreServer._repair`)."""
     queue.repair(2.0)
-    if queue.safe():
+    if queue.is_safe():
         queue.counts_on_leaving()
         queue.audits()
 
@@ -153,9 +177,9 @@
     for first in range(0, count, BATCH):
         writes = []
         for place in range(first, min(count, first + BATCH)):
-            head = _head(place, chance) | {"due_unix": 1.0, "born_unix": 1.0, "place": [[1, 1], place]}
-            value = frame(head, chance.randbytes(body_bytes))
-            writes.append(disk.write([(b"m" + head["ref"].encode(), value)], more=True))
+            message = _message(place, chance, chance.randbytes(body_bytes))
+            value = encode_message(message, CLOCKS)
+            writes.append(disk.write([(b"m" + message.ref.encode(), value)], more=True))
         await asyncio.gather(*writes)
     write_cpu, write_s = time.process_time() - cpu, time.monotonic() - begun
     used = (disk._env.info()["last_pgno"] + 1) * disk._env.stat()["psize"]
@@ -166,9 +190,7 @@
     again.open()
     held = {}
     for _, value in again.load(b"m"):
-        head, _ = Frames().feed(value)[0]
-        head.pop("raw", None)
-        message = Message(head, None, head.pop("due_unix"), head.pop("born_unix"))
+        message = decode_message(value, CLOCKS)
         held[message.ref] = message
     out = {
         "file_bytes": used,
@@ -178,7 +200,7 @@
         "read_back_s": time.monotonic() - begun,
         "read_back_rss_bytes": reading(os.getpid()).rss - before,
         "held": len(held),
-        "head_bytes": len(orjson.dumps(head)) if held else 0,
+        "head_bytes": len(msgspec.json.encode(message.header)) if held else 0,
     }
     again.close()
     return out
--- a/sableford/scale/snapshot.py
+++ b/sableford/scale/snapshot.py
@@ -7,11 +7,13 @@
 import msgspec
 
 from sableford.control.coordinator import Coordinator
+from sableford.control.protocol import JoinRequest, Update
 from sableford.control.view import View
 from sableford.control.workers import Worker
 from sableford.scale.settings import Snapshot
-from sableford.store.choice import Choice, Line
-from sableford.transport.frames import Frames, frame
+from sableford.store.choice import Choice, WorkerEntry
+from sableford.transport.frames import FrameReader, encode_frame
+from sableford.transport.messages import PeerMessage
 
 BEAT_MS = 1200.0
 REPEATS = 20  # calls of a step that is measured; fewer where one is long
@@ -31,16 +33,20 @@
     return f"10.{at >> 16 & 255}.{at >> 8 & 255}.{at & 255}"
 
 
-def _joined(at: int, role: str) -> dict:
+def _join_request(at: int, role: str) -> JoinRequest:
     zone = f"zone-{at % 6 + 1}"
-    return {
-        "birth": f"{at:012x}",
-        "role": role,
-        "zone": zone,
-        "node": f"{role}-{zone}-{at}",
-        "control": f"{_name(at)}:7401" if role == "store" else "",
-        "whole": True,
-    }
+    return JoinRequest(
+        incarnation=f"{at:012x}",
+        role=role,
+        zone=zone,
+        node=f"{role}-{zone}-{at}",
+        control=f"{_name(at)}:7401" if role == "store" else "",
+        view=View(),
+    )
+
+
+def _frame(message: PeerMessage) -> bytes:
+    return encode_frame(msgspec.json.encode(message))
 
 
 def _beat(at: int, count: int) -> Worker:
@@ -51,19 +57,19 @@
 def coordinator(stores: int, edges: int, workers: int) -> Coordinator:
     """A leader that is warm, by its own methods; the workers are put in place at once."""
     one = Coordinator(BEAT_MS)
-    one.enrol(0.0, [_name(at) for at in range(stores)])
-    one.lead(0.0, TERM)
+    one.roster_changed(0.0, [_name(at) for at in range(stores)])
+    one.become_leader(0.0, TERM)
     for at in range(stores + edges):
-        one.joined(1.0, _name(at), _joined(at, "store" if at < stores else "edge"))
+        one.joined(1.0, _name(at), _join_request(at, "store" if at < stores else "edge"))
     for at in range(workers):
         line = _beat(at, 1)
         one.workers[line.id] = line
-        one.registry._until[line.id] = 1e9
+        one.registry._expires_at[line.id] = 1e9
     for member in one.members.values():
-        member.until, member.acked = 1e9, one.number
+        member.lease_until, member.acknowledged = 1e9, one.update_number
     one.tick(2.0)
     for member in one.members.values():
-        member.acked = one.number
+        member.acknowledged = one.update_number
     return one
 
 
@@ -79,24 +85,21 @@
 def of_workers(count: int) -> dict:
     one = coordinator(3, 7, count)
     store = one.members[_name(0)]
-    word = one._snapshot(store)
-    written = frame(word)
-    heads = Frames().feed(written)
+    written = _frame(one._snapshot(store))
+    head = FrameReader().feed(written)[0].head
     out = {
         "snapshot_bytes": float(len(written)),
-        "snapshot_build_s": cpu(lambda: frame(one._snapshot(store))),
-        "snapshot_read_s": cpu(lambda: Frames().feed(written)),
-        "snapshot_convert_s": cpu(lambda: [msgspec.convert(line, Worker) for line in heads[0][0]["workers"]]),
+        "snapshot_build_s": cpu(lambda: _frame(one._snapshot(store))),
+        "snapshot_read_s": cpu(lambda: FrameReader().feed(written)),
+        "snapshot_convert_s": cpu(lambda: msgspec.json.decode(head, type=Update)),
         "tick_s": cpu(lambda: one.tick(3.0)),
-        "mirror_s": cpu(lambda: Coordinator(BEAT_MS).mirror(one.view, one.workers.values(), 3.0)),
+        "mirror_s": cpu(lambda: Coordinator(BEAT_MS).observe(one.view, one.workers.values(), 3.0)),
     }
     turn = iter(range(2, 1_000_000))
-    out["beat_unchanged_s"] = cpu(lambda: one.registry.beat(4.0, _beat(1, next(turn))))
+    out["beat_unchanged_s"] = cpu(lambda: one.registry.heartbeat(4.0, _beat(1, next(turn))))
     new = iter(range(count, 2 * count + 1_000_000))
-    out["beat_new_s"] = cpu(lambda: one.registry.beat(4.0, _beat(next(new), 1)))
-    news = frame(
-        {"op": "news", "term": 1, "n": 5, "prev": 4, "worker": msgspec.to_builtins(one.workers["i-00000000"])}
-    )
+    out["beat_new_s"] = cpu(lambda: one.registry.heartbeat(4.0, _beat(next(new), 1)))
+    news = _frame(Update(term=1, number=5, previous=4, worker=one.workers["i-00000000"]))
     out["news_of_one_bytes"] = float(len(news))
     choice = Choice("zone-1", "s")
     lines = [_line(at) for at in range(count)]
@@ -107,12 +110,12 @@
     return out
 
 
-def _line(at: int) -> Line:
+def _line(at: int) -> WorkerEntry:
     known = _beat(at, 1)
-    return Line(known.id, known.backend, _name(at), 8080, known.zone, 4, True)
+    return WorkerEntry(known.id, known.backend, _name(at), 8080, known.zone, 4, True)
 
 
-def _worker(line: Line):
+def _worker(line: WorkerEntry):
     from sableford.store.choice import Worker as Known
 
     return Known(line, 0.0)
@@ -120,27 +123,26 @@
 
 def of_stores(count: int) -> dict:
     one = coordinator(count, 0, 0)
-    view = msgspec.to_builtins(one.view)
-    word = frame({"op": "news", "term": 1, "n": 5, "prev": 4, "view": view})
+    update = _frame(Update(term=1, number=5, previous=4, view=one.view))
+    join = JoinRequest(incarnation="", role="", zone="", node="", view=one.view)
     return {
-        "view_bytes": float(len(word)),
-        "join_view_bytes": float(len(frame({"op": "join", "view": view}))),
-        "steer_s": cpu(lambda: one._steer(3.0)),
+        "view_bytes": float(len(update)),
+        "join_view_bytes": float(len(_frame(join))),
+        "steer_s": cpu(lambda: one._assign_shards(3.0)),
         "tick_s": cpu(lambda: one.tick(3.0)),
-        "view_read_s": cpu(lambda: msgspec.convert(Frames().feed(word)[0][0]["view"], View)),
+        "view_read_s": cpu(lambda: msgspec.json.decode(FrameReader().feed(update)[0].head, type=Update)),
     }
 
 
 def of_members(count: int) -> dict:
     """Three stores, the others edges."""
     one = coordinator(3, max(0, count - 3), 0)
-    number = iter(range(one.number + 1, 10_000_000))
+    number = iter(range(one.update_number + 1, 10_000_000))
     edge = _name(count - 1)
-    birth = one.members[edge].birth
-    view = msgspec.to_builtins(one.view)
+    incarnation = one.members[edge].incarnation
     return {
         "tick_s": cpu(lambda: one.tick(3.0)),
-        "acked_s": cpu(lambda: one.acked(3.0, edge, birth, next(number))),
-        "tell_s": cpu(lambda: one._tell({"view": view})),
-        "tell_and_encode_s": cpu(lambda: [frame(news.word) for news in one._tell({"view": view})]),
+        "acked_s": cpu(lambda: one.acknowledged(3.0, edge, incarnation, next(number))),
+        "tell_s": cpu(lambda: one._broadcast(view=one.view)),
+        "tell_and_encode_s": cpu(lambda: [_frame(sent.update) for sent in one._broadcast(view=one.view)]),
     }
--- a/sableford/store/choice.py
+++ b/sableford/store/choice.py
@@ -22,7 +22,7 @@
 FAULTS = 2  # breaks in a row: one lost answer says little of a worker
 
 
-class Line(NamedTuple):
+class WorkerEntry(NamedTuple):
     id: str
     backend: str
     host: str
@@ -39,17 +39,17 @@
         "cold_until",
         "cut_at",
         "doubt_until",
+        "entry",
         "failures",
         "heard_at",
-        "line",
         "own",
         "theirs",
         "told",
         "window",
     )
 
-    def __init__(self, line: Line, now: float) -> None:
-        self.line, self.own, self.theirs = line, 0, 0
+    def __init__(self, entry: WorkerEntry, now: float) -> None:
+        self.entry, self.own, self.theirs = entry, 0, 0
         self.told: dict[str, int] = {}  # what each other store has in flight here
         self.heard_at = now
         self.asked_at = -1e12
@@ -58,9 +58,9 @@
         self.window, self.cut_at = FIXED_FIRST, -1e12
 
     def full(self) -> bool:
-        if self.line.fixed:  # what others have there is not of its window
-            return self.own + 1 > min(self.window, self.line.capacity) + SLACK
-        return self.jobs() + 1 > self.line.capacity + SLACK
+        if self.entry.fixed:  # what others have there is not of its window
+            return self.own + 1 > min(self.window, self.entry.capacity) + SLACK
+        return self.jobs() + 1 > self.entry.capacity + SLACK
 
     def jobs(self) -> int:
         return self.own + self.theirs
@@ -83,17 +83,17 @@
 
     # The list
 
-    def put(self, now: float, line: Line, cold_ms: float) -> None:
-        known = self.workers.get(line.id)
+    def put(self, now: float, entry: WorkerEntry, cold_ms: float) -> None:
+        known = self.workers.get(entry.id)
         if known is not None:
-            known.line = line
+            known.entry = entry
         else:
-            known = self.workers[line.id] = Worker(line, now)
+            known = self.workers[entry.id] = Worker(entry, now)
             # One not yet heard of starts at the others' mean.
-            peers = self._by.get(line.backend, ())
+            peers = self._by.get(entry.backend, ())
             known.theirs = 0 if not peers else round(sum(one.theirs for one in peers) / len(peers))
             known.told["?"] = known.theirs
-            self.stale.add(line.id)  # a guess that it is full would stand as long as nobody sends there
+            self.stale.add(entry.id)  # a guess that it is full would stand as long as nobody sends there
         known.cold_until = now + cold_ms
         known.doubt_until, known.failures = 0.0, 0
         self._sort()
@@ -104,29 +104,29 @@
 
     def keep(self, ids: set[str]) -> None:
         """Of those on the list just these are left."""
-        for id in [id for id, one in self.workers.items() if id not in ids and not one.line.fixed]:
+        for id in [id for id, one in self.workers.items() if id not in ids and not one.entry.fixed]:
             self.drop(id)
 
     def fix(self, now: float, table: Table) -> None:
         """Services at one address, by the configuration; they sit on no list."""
         fixed = {f"@{one.name}": one for one in table.backends.values() if one.endpoint}
         for id, known in list(self.workers.items()):
-            if known.line.fixed and id not in fixed:
+            if known.entry.fixed and id not in fixed:
                 self.drop(id)
         for id, one in fixed.items():
-            host, _, port = one.endpoint.rpartition(":")
-            line = Line(id, one.name, host, int(port), self.zone, one.conns, True, True)
-            if id not in self.workers or self.workers[id].line != line:
-                self.put(now, line, 0.0)
+            host, _, port = str(one.endpoint).rpartition(":")
+            entry = WorkerEntry(id, one.name, host, int(port), self.zone, one.conns, True, True)
+            if id not in self.workers or self.workers[id].entry != entry:
+                self.put(now, entry, 0.0)
 
     def _sort(self) -> None:
         self._by = {}
         for worker in self.workers.values():
-            if worker.line.ready:
-                self._by.setdefault(worker.line.backend, []).append(worker)
+            if worker.entry.ready:
+                self._by.setdefault(worker.entry.backend, []).append(worker)
 
     def slots(self, backend: str) -> int:
-        return sum(one.line.capacity for one in self._by.get(backend, ()))
+        return sum(one.entry.capacity for one in self._by.get(backend, ()))
 
     # Figures
 
@@ -155,13 +155,13 @@
         pool = self._by.get(backend, ())
         fit = [one for one in pool if one.doubt_until <= now and not (one.failures >= FAULTS and one.own)]
         if avoid and len(fit) > 1:
-            fit = [one for one in fit if one.line.id != avoid] or fit
+            fit = [one for one in fit if one.entry.id != avoid] or fit
         indices = []
         for one in fit:
             if one.full():
                 continue
             index = float(one.own + one.theirs)
-            if one.line.zone != self.zone:
+            if one.entry.zone != self.zone:
                 index += CROSSING
             if one.cold_until > now:
                 index += COLD
@@ -177,23 +177,23 @@
             del below
             if now - one.asked_at >= AGE_LIMIT:
                 one.asked_at = now
-                self.stale.add(one.line.id)
+                self.stale.add(one.entry.id)
         return within(indices, index, named, bound, self._chance)
 
     def sent(self, worker: Worker) -> None:
         worker.own += 1
-        self.changed.add(worker.line.id)
+        self.changed.add(worker.entry.id)
 
     def finished(self, now: float, worker: Worker, answered: bool, gone: bool, turned: bool = False) -> None:
         """A delivery there is over: whether the worker has answered it, whether it was not to be reached,
         and whether it was turned away."""
         worker.own = max(0, worker.own - 1)
-        if worker.line.fixed:
+        if worker.entry.fixed:
             if answered and not turned:
                 worker.window += 1.0 / worker.window
             elif now - worker.cut_at > FIXED_REST:
                 worker.window, worker.cut_at = max(1.0, FIXED_LESS * worker.window), now
-        self.changed.add(worker.line.id)
+        self.changed.add(worker.entry.id)
         if answered:
             worker.failures, worker.doubt_until = 0, 0.0
             return
--- a/sableford/store/delivery.py
+++ b/sableford/store/delivery.py
@@ -7,56 +7,60 @@
 import asyncio
 from collections.abc import Callable
 
-from sableford.store.choice import Line
+from sableford.store.choice import WorkerEntry
 from sableford.store.messages import Message
+from sableford.transport.errors import CallError
 from sableford.transport.http_client import ClientConnection, Response
-from sableford.transport.verdict import CallFailed, Ran, Verdict
+from sableford.transport.verdict import Execution, Verdict
 
-# ms for a connection: some round trips and a retry of a lost packet; then the worker is not there
-DIAL_MS = 250.0
-LEAST_LEFT_MS = 1.0  # what a worker can be told as its deadline; with less nothing is sent
-SLACK_MS = 60.0  # past the deadline that the worker was handed, for its answer to arrive
+DIAL_TIMEOUT_MS = 250.0  # some round trips and a retry of a lost packet; then the worker is not there
+MIN_DEADLINE_MS = 1.0  # what a worker can be told as its deadline; with less nothing is sent
+RESPONSE_SLACK_MS = 60.0  # past the deadline that the worker was handed, for its answer to arrive
 
 
-def request_of(message: Message, body: bytes, line: Line, left_ms: float) -> bytes:
+def request_of(message: Message, body: bytes, entry: WorkerEntry, left_ms: float) -> bytes:
     """The request as it arrived, and what the worker is to know of this attempt."""
-    head = message.head
+    header = message.header
     lines = [
-        f"{head['method']} {head['target']} HTTP/1.1",
-        f"Host: {head['host']}",
-        f"Attempt-Id: {head['id']}",
+        f"{header.method} {header.target} HTTP/1.1",
+        f"Host: {header.host}",
+        f"Attempt-Id: {header.id}",
         f"Deadline-Ms: {int(left_ms)}",
         f"Content-Length: {len(body)}",
     ]
-    if not line.fixed:
-        lines.append(f"Target-Instance: {line.id}")
-    if head.get("type"):
-        lines.append(f"Content-Type: {head['type']}")
-    if head["key"]:
-        lines.append(f"Order-Key: {head['key']}")
+    if not entry.fixed:
+        lines.append(f"Target-Instance: {entry.id}")
+    if header.content_type:
+        lines.append(f"Content-Type: {header.content_type}")
+    if header.key:
+        lines.append(f"Order-Key: {header.key}")
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
-def answers(response: Response, id: str) -> bool:
+def is_response_to(response: Response, id: str) -> bool:
     """Whether it names the message that was sent, and no other."""
     return response.headers.get(b"attempt-id", b"").decode("latin-1") == id
 
 
-def judge(response: Response, id: str) -> Verdict:
+def verdict_of(response: Response, id: str) -> Verdict:
     """What a whole answer says of its message."""
     head = response.headers
-    if not answers(response, id):
-        return Verdict(Ran.MAYBE, "an answer to another message")
+    if not is_response_to(response, id):
+        return Verdict(Execution.UNKNOWN, "an answer to another message")
     if b"not-run" in head or response.status == 421:
-        return Verdict(Ran.NOT_RUN, f"turned away with {response.status}")
+        return Verdict(Execution.NOT_RUN, f"rejected with {response.status}")
     if 200 <= response.status < 300:
         seal = head.get(b"server-seal", b"").decode("latin-1")
-        return Verdict(Ran.DONE, "", seal) if seal else Verdict(Ran.MAYBE, "a success without its seal")
+        return (
+            Verdict(Execution.DONE, "", seal)
+            if seal
+            else Verdict(Execution.UNKNOWN, "a success without its seal")
+        )
     if response.status == 500:
-        return Verdict(Ran.FAILED, "failed")
+        return Verdict(Execution.FAILED, "failed")
     if response.status == 422:
-        return Verdict(Ran.NEVER, "can never be done")
-    return Verdict(Ran.MAYBE, f"answered {response.status}")
+        return Verdict(Execution.IMPOSSIBLE, "can never be done")
+    return Verdict(Execution.UNKNOWN, f"answered {response.status}")
 
 
 class DeliveryClient:
@@ -71,67 +75,67 @@
         self,
         message: Message,
         body: bytes,
-        line: Line,
+        entry: WorkerEntry,
         until_ms: float,
         may_send: Callable[[], bool] = lambda: True,
     ) -> Verdict:
         """One attempt, at most one request. `until_ms`: by the loop's clock. `may_send` is asked just before
         the request is written: the right to send may have ended while the worker was dialled."""
         self.deliveries += 1
-        connection = self._kept(line.id)
+        connection = self._idle_connection(entry.id)
         if connection is None:
             try:
-                connection = await self._dial(line)
+                connection = await self._dial(entry)
             except (OSError, TimeoutError) as problem:
-                return Verdict(Ran.NOT_RUN, f"no connection: {type(problem).__name__}", reached=False)
+                return Verdict(Execution.NOT_RUN, f"no connection: {type(problem).__name__}", reached=False)
         left = until_ms - self._loop.time() * 1000.0
-        if left < LEAST_LEFT_MS:
-            self._keep(line.id, connection)
-            return Verdict(Ran.NOT_RUN, "no time was left to send it in")
+        if left < MIN_DEADLINE_MS:
+            self._keep(entry.id, connection)
+            return Verdict(Execution.NOT_RUN, "no time was left to send it in")
         if not may_send():
-            self._keep(line.id, connection)
-            return Verdict(Ran.NOT_RUN, "not this store's to send any more")
-        return await self._exchange(connection, message, body, line, left)
+            self._keep(entry.id, connection)
+            return Verdict(Execution.NOT_RUN, "not this store's to send any more")
+        return await self._exchange(connection, message, body, entry, left)
 
-    async def _dial(self, line: Line) -> ClientConnection:
+    async def _dial(self, entry: WorkerEntry) -> ClientConnection:
         """Raises OSError or TimeoutError; then no connection is left open."""
         self.dials += 1
         connection = ClientConnection()
         try:
-            async with asyncio.timeout(DIAL_MS / 1000.0):
-                await self._loop.create_connection(lambda: connection, line.host, line.port)
+            async with asyncio.timeout(DIAL_TIMEOUT_MS / 1000.0):
+                await self._loop.create_connection(lambda: connection, entry.host, entry.port)
         except BaseException:
             connection.drop()
             raise
         return connection
 
     async def _exchange(
-        self, connection: ClientConnection, message: Message, body: bytes, line: Line, left: float
+        self, connection: ClientConnection, message: Message, body: bytes, entry: WorkerEntry, left: float
     ) -> Verdict:
         """The connection is kept only after a whole answer to just this message."""
         try:
-            async with asyncio.timeout((left + SLACK_MS) / 1000.0):
-                response = await connection.ask(request_of(message, body, line, left))
+            async with asyncio.timeout((left + RESPONSE_SLACK_MS) / 1000.0):
+                response = await connection.ask(request_of(message, body, entry, left))
         except TimeoutError:
             connection.drop()
-            return Verdict(Ran.MAYBE, "no answer by the deadline", reached=False)
-        except CallFailed as problem:
+            return Verdict(Execution.UNKNOWN, "no answer by the deadline", reached=False)
+        except CallError as problem:
             connection.drop()
-            return Verdict(problem.ran, f"the connection {problem}", reached=False)
+            return Verdict(problem.execution, f"the connection {problem}", reached=False)
         except BaseException:
             connection.drop()
             raise
-        id = message.head["id"]
-        if connection.closed or not answers(response, id):
+        id = message.header.id
+        if connection.closed or not is_response_to(response, id):
             connection.drop()
         else:
-            self._keep(line.id, connection)
-        return judge(response, id)
+            self._keep(entry.id, connection)
+        return verdict_of(response, id)
 
     def _keep(self, worker: str, connection: ClientConnection) -> None:
         self._idle.setdefault(worker, []).append(connection)
 
-    def _kept(self, worker: str) -> ClientConnection | None:
+    def _idle_connection(self, worker: str) -> ClientConnection | None:
         idle = self._idle.get(worker)
         while idle:
             connection = idle.pop()
