--- a/sableford/store/delivery_order.py
+++ b/sableford/store/delivery_order.py
@@ -1,162 +1,223 @@
-"""The queue's part that says what may go next: due, first of its key, by rank and aim. No I/O."""
+"""Which message may be delivered next: due, first of its key, by rank and latency target. No I/O.
+
+delayed   for its time, or for word of a delivery by the owner before
+ready     of one service, by rank and due time
+overdue   past its start target: one in LATE_SHARE deliveries, while others still keep theirs
+"""
 
 from bisect import insort
+from collections.abc import Callable
 from heapq import heappop, heappush
-
-from sableford.model.tally import Allowance
-from sableford.store.messages import Deliver, Message, Seek, State
-from sableford.store.table import Held
-
-LATE_TURN = 8  # one in so many deliveries is of a message past its aim, while others still keep theirs
-NEWER = 30.0  # ms before a message for a route not known yet is looked at again
-CEILING_OVER = 5.0  # arrivals that a ceiling allows beyond its rate in a window (RULES.md, CEILING)
-CEILING_PART = 0.8  # of what it allows beyond is saved up by all together
-RATE_LEAST = 0.2  # a second, over all stores: less would be none
-SEEK = 250.0  # ms for others to say whether they know one
-AWAY_SLACK = 400.0  # ms past its deadline that the word on a delivery of the owner before may take
-
-
-class DeliveryOrder(Held):
-    def _join_key(self, message: Message) -> None:
-        if message.key:
-            line = self._keys.setdefault(message.key, [])
-            if (message.place, message.ref) not in line:
-                insort(line, (message.place, message.ref))
-
-    def _first(self, message: Message) -> bool:
-        line = self._keys.get(message.key) if message.key else None
-        return not line or line[0][1] == message.ref
-
-    def _line_up(self, now: float, message: Message) -> None:
-        """Into the line of its service once it is due and first of its key."""
-        if message.state is not State.WAITING or not self._first(message):
+from typing import Any
+
+from sableford.store.choice import Choice
+from sableford.store.messages import Deliver, Lookup, Message, State
+from sableford.store.protocol import FinalState, Position
+from sableford.store.queue_state import DEAD_LETTER, QueueState
+from sableford.store.rate_limits import RateLimits
+from sableford.transport.routes import Route
+
+LATE_SHARE = 8  # one in so many deliveries is of an overdue message, while others still keep their target
+NEW_ROUTE_MS = 30.0  # before a message for a route that is not known yet is looked at again
+LOOKUP_MS = 250.0  # for other stores to say whether they know a message
+SENDER_SLACK_MS = 400.0  # past its deadline that word of a delivery by the owner before may take
+DEFAULT_DEADLINE_MS = 1000.0  # of a message whose route has gone meanwhile
+CLOCK_SLACK_MS = 0.5  # a message that is due within so long is due
+NO_TARGET_MS = 1e12
+
+Finish = Callable[[float, Message, FinalState], None]
+
+
+class DeliveryOrder:
+    """`finish` ends a message that is never to be delivered."""
+
+    def __init__(self, state: QueueState, choice: Choice, rate_limits: RateLimits) -> None:
+        self._state, self._choice, self._rate_limits = state, choice, rate_limits
+        self.finish: Finish = lambda now, message, final_state: None
+        self._by_key: dict[str, list[tuple[Position, str]]] = {}
+        self._delayed: list[tuple[float, int, str]] = []
+        self._ready: dict[str, list[tuple[int, float, int, str]]] = {}
+        self._overdue: dict[str, list[tuple[float, int, str]]] = {}
+        self._turn = 0
+        self._next_is_overdue = False  # where the message stands that `_next` has named
+
+    # Messages of one key, in order
+
+    def join_key(self, message: Message) -> None:
+        """The message takes its place among those of its key."""
+        if not message.key:
             return
-        if message.at > now + 0.5:
-            heappush(self._delayed, (message.at, next(self._order), message.ref))
+        queue, place = self._by_key.setdefault(message.key, []), (message.position, message.ref)
+        if place not in queue:
+            insort(queue, place)
+
+    def leave_key(self, now: float, message: Message) -> None:
+        """The message is gone; the next of its key may be delivered."""
+        queue = self._by_key.get(message.key) if message.key else None
+        if queue is None:
             return
-        route = self._route(message)
-        if route is None:
-            if message.revision > self.table.revision:  # a route that is not known here yet
-                message.at = now + NEWER
-                heappush(self._delayed, (message.at, next(self._order), message.ref))
-            else:
-                self._end(now, message, self._ended_as("dead_letter", "no route leads there any more"))
+        place = (message.position, message.ref)
+        was_first = bool(queue) and queue[0] == place
+        if place in queue:
+            queue.remove(place)
+        if not queue:
+            del self._by_key[message.key]
+        elif was_first and (following := self._state.messages.get(queue[0][1])) is not None:
+            self.enqueue(now, following)
+
+    def forget_key(self, message: Message) -> None:
+        """The message's shard is another store's."""
+        self._by_key.pop(message.key, None)
+
+    def is_first_of_key(self, message: Message) -> bool:
+        """Whether no message of its key is to be delivered before it."""
+        queue = self._by_key.get(message.key) if message.key else None
+        return not queue or queue[0][1] == message.ref
+
+    # Waiting
+
+    def enqueue(self, now: float, message: Message) -> None:
+        """Into the queue of its service once it is due and first of its key."""
+        if message.state is not State.WAITING or not self.is_first_of_key(message):
             return
-        if route.retention_s and now - message.born > route.retention_s * 1000.0:
-            self._end(now, message, self._ended_as("dead_letter", "its retention is over"))
+        if message.not_before > now + CLOCK_SLACK_MS:
+            self._delay(message)
             return
-        line = self._ready.setdefault(route.backend, [])
-        heappush(line, (route.rank, message.due, next(self._order), message.ref))
+        state, route = self._state, self._state.route_of(message)
+        if route is None:
+            self._enqueue_without_route(now, message)
+        elif route.retention_s and now - message.sent_at > route.retention_s * 1000.0:
+            self.finish(now, message, state.final_state(DEAD_LETTER, "its retention is over"))
+        else:
+            ready = self._ready.setdefault(route.backend, [])
+            heappush(ready, (route.rank, message.due_at, state.next_position(), message.ref))
+
+    def _enqueue_without_route(self, now: float, message: Message) -> None:
+        if message.revision > self._state.table.revision:  # a route that is not known here yet
+            message.not_before = now + NEW_ROUTE_MS
+            self._delay(message)
+            return
+        gone = self._state.final_state(DEAD_LETTER, "no route leads there any more")
+        self.finish(now, message, gone)
+
+    def _delay(self, message: Message) -> None:
+        heappush(self._delayed, (message.not_before, self._state.next_position(), message.ref))
+
+    def requeue(self, now: float, message: Message, backoff_ms: float) -> None:
+        """It is to be delivered again, after a while."""
+        message.state, message.sender = State.WAITING, ""
+        message.not_before = max(message.due_at, now + backoff_ms)
+        self.enqueue(now, message)
+
+    def await_sender(self, now: float, message: Message) -> None:
+        """It is still in flight, sent by the owner before; its worker stops work at the deadline."""
+        message.state, message.asked_sender_at = State.IN_FLIGHT_ELSEWHERE, -1.0
+        message.not_before = now + self._deadline_ms(message) + SENDER_SLACK_MS
+        self._delay(message)
+
+    def _deadline_ms(self, message: Message) -> float:
+        route = self._state.route_of(message)
+        return route.deadline_ms if route is not None else DEFAULT_DEADLINE_MS
+
+    def take_due(self, now: float) -> None:
+        """Delayed messages whose time has come."""
+        while self._delayed and self._delayed[0][0] <= now:
+            _, _, ref = heappop(self._delayed)
+            message = self._state.messages.get(ref)
+            if message is None or not self._state.owns(message):
+                continue
+            if message.state is State.IN_FLIGHT_ELSEWHERE and message.not_before <= now:
+                self._sender_overdue(now, message)
+            else:
+                self.enqueue(now, message)
+
+    def _sender_overdue(self, now: float, message: Message) -> None:
+        """No word of how it ended: the sender is asked once more before it goes again."""
+        state = self._state
+        if message.sender == state.me and message.ref in state.in_flight:
+            message.not_before = now + LOOKUP_MS  # its verdict comes by itself
+            self._delay(message)
+        elif message.asked_sender_at < 0.0 and message.sender in state.view.live_stores:
+            message.asked_sender_at, message.not_before = now, now + LOOKUP_MS
+            state.emit(Lookup(message.sender, message.ref))
+            self._delay(message)
+        else:
+            self.requeue(now, message, 0.0)
 
-    def _pump(self, now: float) -> None:
+    def enqueue_without_routes(self, now: float) -> None:
+        """Another configuration is in force: messages whose route has gone are looked at anew."""
+        for message in list(self._state.messages.values()):
+            is_waiting = self._state.owns(message) and message.state is State.WAITING
+            if is_waiting and self._state.route_of(message) is None:
+                message.not_before = max(message.due_at, now)
+                self.enqueue(now, message)
+
+    # Delivering
+
+    def dispatch(self, now: float) -> None:
         """Whatever may go, to whichever worker the design names."""
-        if not self.holds(now):
+        state = self._state
+        if not state.holds_lease(now):
             return
         for backend in list(self._ready):
-            ration = self._rations.get(backend)
             while (message := self._next(now, backend)) is not None:
-                worker = self.choice.choose(now, backend, message.avoid)
-                if worker is None or (ration is not None and not ration.takes(now)):
+                worker = self._choice.choose(now, backend, message.avoided_worker)
+                if worker is None or not self._rate_limits.allows(now, backend):
                     break
-                self._take_off(backend, message)
-                route = self._route(message)
-                message.state = State.OUT
-                self.out[message.ref] = message.shard
-                self.choice.sent(worker)
-                self._say(
-                    Deliver(message.ref, worker.line.id, now + (route.deadline_ms if route else 1000.0))
-                )
+                self._pop(backend)
+                message.state = State.IN_FLIGHT
+                state.in_flight[message.ref] = message.shard
+                self._choice.sent(worker)
+                until = now + self._deadline_ms(message)
+                state.emit(Deliver(message.ref, worker.entry.id, until))
 
     def may_send(self, now: float, ref: str, worker: str) -> bool:
         """Whether a delivery is still this store's to begin, once its bytes are read and its worker dialled:
         another owner may have begun it after this one's lease."""
-        message = self.held.get(ref)
-        if message is None or message.state is not State.OUT or message.shard not in self.owned:
+        message = self._state.messages.get(ref)
+        if message is None or message.state is not State.IN_FLIGHT or not self._state.owns(message):
             return False
-        return self.holds(now) and worker in self.choice.workers
-
-    def _ration(self, now: float) -> None:
-        """Of a service that bears no more than a rate each live store has its part, so that all together keep
-        under it in every window; what is saved up by stores that had nothing to send counts into that."""
-        stores = max(1, len(self.view.live_stores))
-        if self._rationed == (stores, self.table.revision):
-            return
-        self._rationed = stores, self.table.revision
-        before, self._rations = self._rations, {}
-        window_s, excess = self.ceiling
-        for name, backend in self.table.backends.items():
-            if backend.rate > 0.0:
-                spare = CEILING_PART * (backend.rate * window_s * (excess - 1.0) + CEILING_OVER)
-                most = max(1.0, spare / stores)
-                # Where even one for each is more than may be saved up, the rate gives the rest.
-                rate = max(RATE_LEAST, backend.rate - max(0.0, most * stores - spare) / window_s) / stores
-                known = before.get(name)
-                self._rations[name] = Allowance(now, rate, most, min(most, known.saved) if known else 0.0)
+        return self._state.holds_lease(now) and worker in self._choice.workers
 
     def _next(self, now: float, backend: str) -> Message | None:
-        """The next one of a service: earliest due among those that can keep their aim, then the late ones."""
-        line, tardy = self._ready[backend], self._tardy.setdefault(backend, [])
-        while line:
-            _, due, number, ref = line[0]
-            message = self.held.get(ref)
-            if message is None or not self._may_go(now, message):
-                heappop(line)
-                continue
-            route = self._route(message)
-            if route is None or route.backend != backend:  # another configuration has come
-                heappop(line)
-                self._line_up(now, message)
-                continue
-            if now > due + (route.start_ms or 1e12):
-                heappop(line)
-                heappush(tardy, (due, number, ref))
-                continue
-            break
-        while tardy:
-            message = self.held.get(tardy[0][2])
-            if message is None or not self._may_go(now, message):
-                heappop(tardy)
-                continue
-            route = self._route(message)
-            if route is None or route.backend != backend:
-                heappop(tardy)
-                self._line_up(now, message)
-                continue
-            break
-        self._from_tardy = bool(tardy) and (not line or self._turn % LATE_TURN == LATE_TURN - 1)
-        if self._from_tardy:
-            return self.held[tardy[0][2]]
-        return self.held[line[0][3]] if line else None
-
-    def _may_go(self, now: float, message: Message) -> bool:
-        """A line may hold one that has gone, or that has been put back since for a later time."""
-        own = message.state is State.WAITING and message.shard in self.owned
-        return own and message.at <= now + 0.5 and self._first(message)
-
-    def _take_off(self, backend: str, message: Message) -> None:
+        """The next one of a service: earliest due among those that can keep their target, then overdue ones.
+        Entries of messages that have gone, or have been put back since, are dropped on the way."""
+        ready, overdue = self._ready[backend], self._overdue.setdefault(backend, [])
+        while (route := self._first_startable(now, backend, ready)) is not None:
+            _, due_at, number, ref = ready[0]
+            if now <= due_at + (route.start_ms or NO_TARGET_MS):
+                break
+            heappop(ready)
+            heappush(overdue, (due_at, number, ref))
+        self._first_startable(now, backend, overdue)
+        is_turn_of_overdue = self._turn % LATE_SHARE == LATE_SHARE - 1
+        self._next_is_overdue = bool(overdue) and (not ready or is_turn_of_overdue)
+        if self._next_is_overdue:
+            return self._state.messages[overdue[0][2]]
+        return self._state.messages[ready[0][3]] if ready else None
+
+    def _first_startable(self, now: float, backend: str, heap: list[Any]) -> Route | None:
+        """The route of the first message of a heap that may start; those before it are dropped. One that
+        another configuration sends to another service goes to that one's queue."""
+        while heap:
+            message = self._state.messages.get(heap[0][-1])
+            may_start = message is not None and self._may_start(now, message)
+            route = self._state.route_of(message) if message is not None and may_start else None
+            if route is not None and route.backend == backend:
+                return route
+            heappop(heap)
+            if message is not None and may_start:
+                self.enqueue(now, message)
+        return None
+
+    def _may_start(self, now: float, message: Message) -> bool:
+        is_waiting = message.state is State.WAITING and self._state.owns(message)
+        is_due = message.not_before <= now + CLOCK_SLACK_MS
+        return is_waiting and is_due and self.is_first_of_key(message)
+
+    def _pop(self, backend: str) -> None:
         self._turn += 1
-        heappop(self._tardy[backend] if self._from_tardy else self._ready[backend])
-
-    def _back(self, now: float, message: Message, pause: float) -> None:
-        message.state, message.away = State.WAITING, ""
-        message.at = max(message.due, now + pause)
-        self._line_up(now, message)
-
-    def _go_away(self, now: float, message: Message) -> None:
-        """Out there still, sent by the owner before; its worker stops work at the deadline."""
-        message.state, message.asked_at = State.AWAY, -1.0
-        route = self._route(message)
-        message.at = now + (route.deadline_ms if route else 1000.0) + AWAY_SLACK
-        heappush(self._delayed, (message.at, next(self._order), message.ref))
-
-    def _miss(self, now: float, message: Message) -> None:
-        """No word of how it ended: the sender is asked once more before it goes again."""
-        if message.away == self.me and message.ref in self.out:
-            message.at = now + SEEK  # its verdict comes by itself
-            heappush(self._delayed, (message.at, next(self._order), message.ref))
-        elif message.asked_at < 0.0 and message.away in self.view.live_stores:
-            message.asked_at, message.at = now, now + SEEK
-            self._say(Seek(message.away, message.ref))
-            heappush(self._delayed, (message.at, next(self._order), message.ref))
+        if self._next_is_overdue:
+            heappop(self._overdue[backend])
         else:
-            self._back(now, message, 0.0)
+            heappop(self._ready[backend])
--- a/sableford/store/departure.py
+++ b/sableford/store/departure.py
@@ -16,13 +16,13 @@
 
 def may_end(queue: Queue) -> bool:
     """Whether nothing that this store holds is needed any more."""
-    if queue.busy():
+    if queue.is_busy():
         return False
-    view = queue.view
-    own = view.live_stores.get(queue.me)
-    if own is None or own.birth != queue.birth:
+    view = queue.state.view
+    own = view.live_stores.get(queue.state.me)
+    if own is None or own.incarnation != queue.state.incarnation:
         return True
-    staying = [name for name, one in view.live_stores.items() if not one.leaving and name != queue.me]
+    staying = [name for name, one in view.live_stores.items() if not one.leaving and name != queue.state.me]
     if not staying:
         return True
-    return own.leaving and (queue.me in view.spared or queue.me not in view.roster)
+    return own.leaving and (queue.state.me in view.spared or queue.state.me not in view.roster)
--- a/sableford/store/messages.py
+++ b/sableford/store/messages.py
@@ -1,180 +1,189 @@
-"""What the queue is made of: a message as a store holds it, and what the queue asks of the world around
-it."""
+"""A message as a store holds it, and the effects that the queue asks its host to carry out."""
 
 from enum import Enum
 from typing import Any, NamedTuple
 
-import orjson
-
 from sableford.control.view import Number
+from sableford.store.protocol import (
+    CopyRequest,
+    FinalState,
+    MessageHeader,
+    PulledMessage,
+    PutResponse,
+    header_fields,
+)
 from sableford.transport.verdict import Verdict
 
+NEVER = -1e12  # ms: a moment before all others
+
 
 class State(Enum):
-    """Where a message stands at a store. Only the owner of its shard goes beyond COPY."""
+    """Where a message stands at a store. Only the owner of its shard goes beyond REPLICA."""
 
-    COPY = "copy"  # held for whoever owns it
-    TAKING = "taking"  # not yet on as many disks as it must be
-    WAITING = "waiting"  # accepted; for its time, its turn or a worker
-    OUT = "out"  # at a worker, sent from here
-    AWAY = "away"  # at a worker, sent by the owner before
-    ENDING = "ending"  # its end is being kept
+    REPLICA = "kept for the owner of its shard"
+    ACCEPTING = "not yet on as many disks as it must be"
+    WAITING = "accepted; for its time, its turn or a worker"
+    IN_FLIGHT = "at a worker, sent from here"
+    IN_FLIGHT_ELSEWHERE = "at a worker, sent by the owner before"
+    ENDING = "its final state is being kept"
 
 
 class Message:
-    """`head` is what goes to disk and to other stores with the body; times are this process's steady clock,
-    ms."""
+    """`header` goes to disk and to other stores with the body; times are this process's steady clock, ms."""
 
     __slots__ = (
-        "asked",
-        "asked_at",
-        "at",
-        "avoid",
-        "away",
+        "asked_sender_at",
+        "attempts",
+        "avoided_worker",
         "body",
-        "born",
         "copied_at",
-        "due",
-        "end",
-        "end_held",
-        "head",
-        "held",
-        "kept_at",
+        "due_at",
+        "final_state",
+        "final_state_holders",
+        "final_state_rounds",
+        "header",
+        "holders",
         "key",
+        "not_before",
         "pauses",
-        "place",
+        "position",
         "ref",
         "revision",
+        "sender",
+        "sent_at",
         "shard",
         "state",
         "synced",
-        "tries",
         "waiters",
-    )  # fmt: skip
-
-    def __init__(self, head: dict[str, Any], body: bytes | None, due: float, born: float) -> None:
-        self.head, self.body, self.due, self.born = head, body, due, born
-        self.ref: str = head["ref"]
-        self.shard: int = head["shard"]
-        self.key: str = head["key"]
-        self.place: tuple = (tuple(head["place"][0]), head["place"][1])
-        self.tries: int = head.get("tries", 0)
-        self.revision: int = head.get("revision", 0)
-        self.state = State.COPY
+        "written_at",
+    )
+
+    def __init__(self, header: MessageHeader, body: bytes | None, due_at: float, sent_at: float) -> None:
+        self.header, self.body, self.due_at, self.sent_at = header, body, due_at, sent_at
+        self.ref, self.shard, self.key = header.ref, header.shard, header.key
+        self.position, self.revision, self.attempts = header.position, header.revision, header.attempts
+        self.state = State.REPLICA
         self.synced = False  # on the own disk
-        self.held: set[str] = set()  # other stores that have it on theirs
-        self.kept_at = -1e12  # given to the own disk
-        self.copied_at: dict[str, float] = {}  # asked to take it, and when
-        self.waiters: list = []
-        self.pauses = 0
-        self.at = due  # not before
-        self.avoid = self.away = ""
-        self.end: End | None = None
-        self.end_held: set[str] = set()
-        self.asked = 0
-        self.asked_at = -1.0
+        self.holders: set[str] = set()  # other stores that have it on theirs
+        self.written_at = NEVER  # given to the own disk
+        self.copied_at: dict[str, float] = {}  # stores that were asked to keep a replica, and when
+        self.waiters: list[Any] = []  # puts that are answered once it is accepted
+        self.pauses = 0  # attempts that did not run, in a row
+        self.not_before = due_at
+        self.avoided_worker = ""  # that the last attempt failed at
+        self.sender = ""  # the store that has it in flight, where that is not the owner
+        self.asked_sender_at = -1.0
+        self.final_state: FinalState | None = None
+        self.final_state_holders: set[str] = set()
+        self.final_state_rounds = 0  # how often stores were asked to keep it
+
+    def copy_request(self, now: float, epoch: Number) -> CopyRequest:
+        """What another store is sent to keep a replica."""
+        fields = header_fields(self.header) | {"attempts": self.attempts}
+        return CopyRequest(**fields, due_in_ms=self.due_at - now, age_ms=now - self.sent_at, epoch=epoch)
+
+    def pulled_message(self, now: float) -> PulledMessage:
+        """What another store is sent that takes the shard over."""
+        fields = header_fields(self.header)
+        return PulledMessage(**fields, due_in_ms=self.due_at - now, age_ms=now - self.sent_at)
+
+
+def replica_of(now: float, sent: CopyRequest | PulledMessage, body: bytes | None) -> Message:
+    """Another store's message."""
+    header = MessageHeader(**header_fields(sent))
+    return Message(header, body, now + sent.due_in_ms, now - sent.age_ms)
 
-    def times(self, now: float) -> dict[str, float]:
-        """For another clock: how long until it is due, and how long ago it was sent first."""
-        return {"due_in": self.due - now, "age": now - self.born}
 
+# Effects
 
-class End(NamedTuple):
-    """`phase` is complete or dead_letter; a success has its seal; `why` is for people."""
 
-    phase: str
-    seal: str
-    why: str
-    at: float  # unix ms
+class WriteMessage(NamedTuple):
+    """To the own disk. The host tells with `Queue.message_written`."""
 
-    def dump(self) -> bytes:
-        return orjson.dumps(list(self))
+    ref: str
 
-    @classmethod
-    def load(cls, given: list) -> "End":
-        return cls(*given)
 
+class WriteFinalState(NamedTuple):
+    """To the own disk, in place of the message. The host tells with `Queue.final_state_written`."""
 
-# Effects
+    ref: str
 
 
-class Keep(NamedTuple):
-    """To the own disk: the message (`what` is "m"), its end ("e", and the message goes), or nothing of it
-    ("d")."""
+class WriteFinalStates(NamedTuple):
+    """To the own disk: final states that another store had."""
+
+    refs: list[str]
 
-    what: str
-    ref: str
 
+class CopyMessage(NamedTuple):
+    """Another store is to keep a replica."""
 
-class Copy(NamedTuple):
     to: str
     ref: str
     epoch: Number
 
 
-class TellEnd(NamedTuple):
-    """Another store is to keep the end and drop the message."""
+class CopyFinalState(NamedTuple):
+    """Another store is to keep the final state and drop the message."""
 
     to: str
     ref: str
     shard: int
-    end: End
+    final_state: FinalState
 
 
-class Drop(NamedTuple):
-    """Another store may drop a message that its owner, since `epoch`, knows nothing of."""
+class CopyFinalStates(NamedTuple):
+    """Another store is to keep these final states too."""
 
     to: str
-    ref: str
-    epoch: Number
+    refs: list[str]
 
 
-class KeepEnds(NamedTuple):
-    """To the own disk: ends that another store had."""
+class DropReplica(NamedTuple):
+    """Another store may drop a message that its owner, since `epoch`, knows nothing of."""
 
-    refs: list[str]
+    to: str
+    ref: str
+    epoch: Number
 
 
-class ListEnds(NamedTuple):
-    """Ask another store which ends of these shards are on its disk, `most` of them, after a ref."""
+class ListFinalStates(NamedTuple):
+    """Ask another store which final states of these shards are on its disk, `limit` of them, after a ref."""
 
     to: str
-    number: int
+    round: int
     shards: list[int]
     after: str
-    most: int
+    limit: int
 
 
-class Fill(NamedTuple):
-    """Another store is to keep these ends too."""
+class RespondToPut(NamedTuple):
+    """Answer a put; `waiter` is what came with it."""
 
-    to: str
-    refs: list[str]
-
-
-class Reply(NamedTuple):
     waiter: Any
-    word: dict
+    response: PutResponse
 
 
 class Deliver(NamedTuple):
+    """Send a message to a worker; `until` is ms of the steady clock."""
+
     ref: str
     worker: str
     until: float
 
 
 class Pull(NamedTuple):
-    """Ask another store what it holds of these shards; with `parts` the messages too that are not in
-    `have`."""
+    """Ask another store what it holds of these shards; `with_messages`: also those that are not in
+    `known`."""
 
     to: str
     round: int
     shards: list[int]
-    have: list[str]
-    parts: bool
+    known: list[str]
+    with_messages: bool
 
 
-class Settle(NamedTuple):
+class AskFinalStates(NamedTuple):
     """Ask another store which of these have ended."""
 
     to: str
@@ -182,14 +191,14 @@
     refs: list[str]
 
 
-class Seek(NamedTuple):
-    """Ask another store what it knows of one."""
+class Lookup(NamedTuple):
+    """Ask another store what it knows of one message."""
 
     to: str
     ref: str
 
 
-class Late(NamedTuple):
+class SendDeliveryResult(NamedTuple):
     """To the new owner: how a delivery ended that the old one had sent."""
 
     to: str
@@ -198,24 +207,27 @@
     verdict: Verdict
 
 
-class Said(NamedTuple):
+class LogEvent(NamedTuple):
+    """For the log."""
+
     event: str
-    facts: dict
+    fields: dict[str, Any]
 
 
 Effect = (
-    Keep
-    | KeepEnds
-    | ListEnds
-    | Copy
-    | TellEnd
-    | Drop
-    | Fill
-    | Reply
+    WriteMessage
+    | WriteFinalState
+    | WriteFinalStates
+    | CopyMessage
+    | CopyFinalState
+    | CopyFinalStates
+    | DropReplica
+    | ListFinalStates
+    | RespondToPut
     | Deliver
     | Pull
-    | Settle
-    | Seek
-    | Late
-    | Said
+    | AskFinalStates
+    | Lookup
+    | SendDeliveryResult
+    | LogEvent
 )
--- /dev/null
+++ b/sableford/store/replica_placement.py
@@ -0,0 +1,154 @@
+"""On which stores replicas are to lie, and whether those that a message has are enough. No I/O.
+
+What is enough follows from what the deployment tolerates (`durability`) and from the view: replicas count
+on no
+store that is being emptied, nor, where others are enough, on one that leaves and may be gone for good.
+"""
+
+from collections.abc import Callable, Collection, Iterable, Mapping
+
+from sableford.control.view import View
+from sableford.store.durability import Tolerated, Topology, is_durable, loss_is_borne
+from sableford.store.messages import Message
+from sableford.store.queue_state import QueueState
+
+
+class ReplicaPlacement:
+    """`region_of` names the region of each zone."""
+
+    def __init__(self, state: QueueState, tolerated: Tolerated, region_of: Mapping[str, str]) -> None:
+        self._state, self.tolerated, self._region_of = state, tolerated, region_of
+        self._computed_for: View | None = None
+        self._topology, self._limits = Topology({}), tolerated
+        self._others_suffice = False  # without the stores that leave
+        self._counted: set[str] = set()
+        self._preferences: dict[tuple[int, bool], list[str]] = {}  # by shard, and whether near is wanted
+        self._preferences_for: tuple[object, set[str]] = (None, set())
+
+    def _update(self) -> None:
+        """What the view says of where replicas may lie, worked out once a view."""
+        view = self._state.view
+        if self._computed_for is view:
+            return
+        self._computed_for = view
+        self._state.zone_of |= view.zones | {name: store.zone for name, store in view.live_stores.items()}
+        self._topology = Topology(self._state.zone_of, self._region_of)
+        self._limits = self._topology.limit(self.tolerated, {*view.roster, *view.live_stores})
+        stores = view.live_stores.items()
+        staying = {name for name, store in stores if not store.retiring and not store.leaving}
+        self._others_suffice = is_durable(staying, self._topology, self._limits)
+        self._counted = {
+            name
+            for name, store in stores
+            if not store.retiring and not (store.leaving and (self._others_suffice or name in view.spared))
+        }
+
+    def counted_stores(self) -> set[str]:
+        """The live stores whose replicas count."""
+        self._update()
+        return self._counted
+
+    def counts(self, store: str) -> bool:
+        """This store itself counts also before a view has shown it."""
+        if store in self.counted_stores():
+            return True
+        return store == self._state.me and store not in self._state.view.live_stores
+
+    def counts_on_leaving(self) -> bool:
+        """Whether what is safe may be so only by replicas on stores that leave: too few others stay."""
+        self._update()
+        stores = self._state.view.live_stores.values()
+        return any(store.leaving and not store.retiring for store in stores) and not self._others_suffice
+
+    def is_enough(self, holders: Collection[str]) -> bool:
+        """Whether replicas on just these stores are durable, whichever of them count."""
+        self._update()
+        return is_durable(holders, self._topology, self._limits)
+
+    def is_durable(self, holders: Iterable[str]) -> bool:
+        """Whether those of these stores that count are enough."""
+        return self.is_enough([name for name in holders if self.counts(name)])
+
+    def is_safe(self, message: Message) -> bool:
+        """On as many disks as still leave one replica after what must be borne. Asked of each message of a
+        backlog twice a second."""
+        replicas = len(message.holders & self.counted_stores())
+        replicas += message.synced and self.counts(self._state.me)
+        if replicas <= self._limits.machines:
+            return False
+        if not (self._limits.zones or self._limits.regions):
+            return True
+        return self.is_durable(message.holders | {self._state.me} if message.synced else message.holders)
+
+    def can_open(self, answered: Iterable[str]) -> bool:
+        """Whether no accepted message can be only on stores of the roster that are not among `answered`."""
+        self._update()
+        view = self._state.view
+        missing = {*view.roster}.difference(answered, view.spared)
+        return loss_is_borne(missing, self._topology, self._limits)
+
+    def is_isolated(self) -> bool:
+        """Whether too few other stores respond for a message to be safe: it could only be kept back."""
+        state = self._state
+        return not self.is_durable({state.me, *state.other_stores()} - state.unresponsive)
+
+    # Choosing stores for replicas
+
+    def further_holders(
+        self, shard: int, holders: Iterable[str], may_hold: Callable[[str], bool]
+    ) -> list[str]:
+        """Who else is to have it, so that with these `holders` it is on enough disks, as far as there are."""
+        chosen, further = set(holders), []
+        while not self.is_enough(chosen):
+            name = self._next_holder(shard, chosen, may_hold)
+            if not name:
+                break
+            further.append(name)
+            chosen.add(name)
+        return further
+
+    def _next_holder(self, shard: int, chosen: set[str], may_hold: Callable[[str], bool]) -> str:
+        topology, limits = self._topology, self._limits
+        zones = {topology.zone(name) for name in chosen}
+        regions = {topology.region(name) for name in chosen}
+        needs_zone, needs_region = len(zones) <= limits.zones, len(regions) <= limits.regions
+        # One in another zone; what more there must be may be near, since bytes between zones cost.
+        is_elsewhere = any(zone != self._own_zone() for zone in zones)
+        near = is_elsewhere and not (needs_zone or needs_region)
+        for name in self._preferred(shard, near):
+            if name in chosen or name not in self.counted_stores() or not may_hold(name):
+                continue
+            if needs_zone and limits.zones and topology.zone(name) in zones:
+                continue
+            if needs_region and limits.regions and topology.region(name) in regions:
+                continue
+            return name
+        return ""
+
+    def _own_zone(self) -> str:
+        info = self._state.view.live_stores.get(self._state.me)
+        return info.zone if info is not None else ""
+
+    def _preferred(self, shard: int, near: bool) -> list[str]:
+        """Other stores in the order in which replicas go to them: responsive ones first, then other zones
+        first, or last where `near` is wanted."""
+        state = self._state
+        if self._preferences_for != (state.view.number, state.unresponsive):
+            self._preferences_for = (state.view.number, set(state.unresponsive))
+            self._preferences = {}
+        if (shard, near) in self._preferences:
+            return self._preferences[shard, near]
+        names, stores, zone = sorted(state.other_stores()), state.view.live_stores, self._own_zone()
+        start = shard % max(1, len(names))
+        preferred = self._preferences[shard, near] = sorted(
+            names[start:] + names[:start],
+            key=lambda name: (
+                stores[name].retiring,
+                name in state.unresponsive,
+                stores[name].leaving,
+                stores[name].full,
+                not stores[name].complete,
+                (stores[name].zone == zone) != near,
+            ),
+        )
+        return preferred
--- /dev/null
+++ b/sableford/store/shard_takeover.py
@@ -0,0 +1,342 @@
+"""Takes shards over, hands them on, and compares stores that have come back. No I/O.
+
+Who takes a shard over asks all other live stores what they hold of it, and waits until as many complete disks
+have answered as leave none out that an accepted message may be on; then which of that has ended. Who hands
+it on
+has acknowledged the view before, begins nothing more, and tells how what it had in flight has ended.
+"""
+
+from sableford.control.view import Number, View, shard_in
+from sableford.store.acceptance import REFUSED_MAYBE_KEPT, Acceptance
+from sableford.store.choice import Choice
+from sableford.store.delivery_order import DeliveryOrder
+from sableford.store.endings import Endings
+from sableford.store.final_state_replication import FinalStateReplication
+from sableford.store.message_replication import MessageReplication
+from sableford.store.messages import (
+    AskFinalStates,
+    CopyFinalState,
+    DropReplica,
+    LogEvent,
+    Message,
+    Pull,
+    State,
+    WriteMessage,
+    replica_of,
+)
+from sableford.store.protocol import FinalState, PulledMessage, PullResponse
+from sableford.store.queue_state import QueueState
+from sableford.store.replica_placement import ReplicaPlacement
+from sableford.store.takeover import Takeover
+
+COMPARISON = 0  # the round of pulls that only compare
+
+
+class ShardTakeover:
+    """Which shards are served here follows the view."""
+
+    def __init__(
+        self,
+        state: QueueState,
+        placement: ReplicaPlacement,
+        choice: Choice,
+        order: DeliveryOrder,
+        replication: MessageReplication,
+        final_states: FinalStateReplication,
+        endings: Endings,
+        acceptance: Acceptance,
+    ) -> None:
+        self._state, self._placement, self._choice, self._order = state, placement, choice, order
+        self._replication, self._final_states = replication, final_states
+        self._endings, self._acceptance = endings, acceptance
+        self._seen: dict[str, str] = {}  # the incarnation of each store in the last view
+        self._comparing: dict[str, dict[int, Number]] = {}  # stores that were asked, about which shards
+        self._compared: dict[str, tuple[str, set[int]]] = {}  # by store: incarnation and shards
+
+    def apply_view(self, now: float, view: View) -> None:
+        """The newest view, at once in force here."""
+        state = self._state
+        state.view = view
+        mine = {shard: view.epochs[shard] for shard in view.owned(state.me, state.incarnation)}
+        own = view.live_stores.get(state.me)
+        if own is not None and own.incarnation == state.incarnation:
+            state.complete = state.complete or own.complete
+        gone, new = self._changed_stores(view)
+        for name in sorted(gone):
+            self._choice.forget(name)
+        self._release_lost(mine)
+        self._begin_takeovers(mine)
+        self._forget_holders(now, gone)
+        for takeover in self.under_way():
+            for name in gone:
+                takeover.forget(name)
+            self.ask(now, takeover)
+        for name in sorted(new & state.other_stores()):
+            self.compare(name)
+        self._final_states.observe_absent(now, view)
+        for message in list(state.messages.values()):
+            is_here = state.owns(message) and message.state is not State.ENDING
+            if is_here and not self._placement.is_safe(message):
+                self._replication.copy_later(message)
+        self._replication.copy_waiting(now)
+        self._endings.copy_all(now)
+
+    def _changed_stores(self, view: View) -> tuple[set[str], set[str]]:
+        """Stores whose last incarnation is gone, and those with a new one."""
+        before, me = self._seen, self._state.me
+        self._seen = {name: store.incarnation for name, store in view.live_stores.items()}
+        gone = {name for name, one in before.items() if self._seen.get(name) != one}
+        new = {name for name, one in self._seen.items() if before.get(name) != one}
+        return gone - {me}, new - {me}
+
+    def _release_lost(self, mine: dict[int, Number]) -> None:
+        released = [shard for shard, epoch in self._state.owned.items() if mine.get(shard) != epoch]
+        for shard in released:
+            self._release(shard)
+        if released:
+            self._final_states.release(released)
+
+    def _release(self, shard: int) -> None:
+        """Ours no more: nothing of it begins here from now on."""
+        del self._state.owned[shard]
+        self._acceptance.release(shard)
+        for message in self._state.messages.values():
+            if message.shard != shard:
+                continue
+            # Replicas may be with others: the next owner takes it, or knows.
+            self._acceptance.respond_to_waiters(message, REFUSED_MAYBE_KEPT)
+            message.sender = ""
+            self._state.accepting.pop(message.ref, None)
+            if message.state is not State.ENDING:  # its final state is copied on until enough have it
+                message.state = State.REPLICA
+            self._order.forget_key(message)
+
+    def _begin_takeovers(self, mine: dict[int, Number]) -> None:
+        state = self._state
+        for takeover in self.under_way():
+            takeover.shards &= mine.keys()
+        for shard in [shard for shard, one in state.takeovers.items() if shard not in one.shards]:
+            del state.takeovers[shard]
+            self._acceptance.refuse_parked(shard)
+        fresh = {shard for shard in mine if shard not in state.owned and shard not in state.takeovers}
+        if not fresh:
+            return
+        takeover = Takeover(state.next_round(), fresh)
+        for shard in fresh:
+            state.takeovers[shard] = takeover
+
+    def _forget_holders(self, now: float, gone: set[str]) -> None:
+        for message in self._state.messages.values():
+            message.final_state_holders -= gone
+            if not self._state.owns(message):
+                continue
+            message.holders -= gone
+            sender_is_gone = message.sender not in self._state.view.live_stores
+            if message.state is State.IN_FLIGHT_ELSEWHERE and sender_is_gone:
+                self._order.requeue(now, message, 0.0)
+
+    # Asking what others hold
+
+    def under_way(self) -> list[Takeover]:
+        """All takeovers, each once."""
+        return list({id(one): one for one in self._state.takeovers.values()}.values())
+
+    def ask_all(self, now: float) -> None:
+        """Stores that have not been asked, or did not answer."""
+        for takeover in self.under_way():
+            self.ask(now, takeover)
+
+    def ask(self, now: float, takeover: Takeover) -> None:
+        """Stores that have not been asked in their present incarnation."""
+        state = self._state
+        for name in sorted(state.other_stores()):
+            incarnation = state.incarnation_of(name)
+            if takeover.asked.get(name) == incarnation:
+                continue
+            takeover.asked[name] = incarnation
+            known = [one.ref for one in state.messages.values() if one.shard in takeover.shards]
+            state.emit(Pull(name, takeover.number, sorted(takeover.shards), known, True))
+        self.check(now, takeover)
+
+    def _takeover_of(self, number: int) -> Takeover | None:
+        return next((one for one in self.under_way() if one.number == number), None)
+
+    def pull_answered(self, now: float, store: str, number: int, response: PullResponse | None) -> None:
+        """Another store's answer, its messages having come before it; None where it did not answer."""
+        takeover = self._takeover_of(number)
+        if takeover is None:
+            if number == COMPARISON:
+                self._compared_with(now, store, response)
+            return
+        if store not in takeover.asked:
+            return
+        if response is None:
+            del takeover.asked[store]  # asked again with the next tick
+            return
+        takeover.answered[store] = response.complete
+        self._note_answer(store, takeover, response)
+        self.check(now, takeover)
+
+    def message_pulled(self, now: float, pulled: PulledMessage, body: bytes | None) -> None:
+        """A message that another store holds and this one did not."""
+        ref = pulled.ref
+        if ref not in self._state.messages and ref not in self._state.final_states:
+            self._state.messages[ref] = replica_of(now, pulled, body)
+            self._state.emit(WriteMessage(ref))
+
+    def _note_answer(self, store: str, takeover: Takeover, response: PullResponse) -> None:
+        messages = self._state.messages
+        for ref in response.refs:
+            if (message := messages.get(ref)) is not None:
+                message.holders.add(store)
+        for ref in response.in_flight:
+            is_over = (store, ref) in takeover.finished_deliveries
+            if (message := messages.get(ref)) is not None and not is_over:
+                message.sender = store
+        for ref, attempts in response.attempts.items():
+            if (message := messages.get(ref)) is not None:
+                message.attempts = max(message.attempts, attempts)
+
+    def check(self, now: float, takeover: Takeover) -> None:
+        """Whether all that may know have told; then which of it has ended."""
+        if not takeover.shards or not self._all_answered(takeover):
+            return
+        if takeover.awaiting_final_states is None:
+            takeover.awaiting_final_states = self._ask_final_states(takeover)
+        if not takeover.awaiting_final_states:
+            self.open(now, takeover)
+
+    def _all_answered(self, takeover: Takeover) -> bool:
+        complete = {name for name, is_complete in takeover.answered.items() if is_complete}
+        if self._state.complete:
+            complete.add(self._state.me)
+        waits = self._state.other_stores() - takeover.answered.keys()
+        return not waits and self._placement.can_open(complete)
+
+    def _ask_final_states(self, takeover: Takeover) -> set[str]:
+        """The stores that were asked which messages have ended."""
+        refs = sorted(ref for ref in self._refs_of(takeover) if ref not in self._state.final_states)
+        if not refs:
+            return set()
+        for name in sorted(takeover.answered):
+            self._state.emit(AskFinalStates(name, takeover.number, refs))
+        return set(takeover.answered)
+
+    def _refs_of(self, takeover: Takeover) -> list[str]:
+        messages = self._state.messages.values()
+        return [message.ref for message in messages if message.shard in takeover.shards]
+
+    def final_states_answered(
+        self, now: float, store: str, number: int, known: dict[str, FinalState] | None
+    ) -> None:
+        """Which of the messages that were asked about have ended, by another store."""
+        takeover = self._takeover_of(number)
+        if takeover is None or store not in (takeover.awaiting_final_states or ()):
+            return
+        if known is None:
+            self._state.emit(AskFinalStates(store, number, sorted(self._refs_of(takeover))))
+            return
+        for ref, final_state in known.items():
+            self._final_states.learn(ref, final_state)
+        assert takeover.awaiting_final_states is not None, "it was asked"
+        takeover.awaiting_final_states.discard(store)
+        self.check(now, takeover)
+
+    def open(self, now: float, takeover: Takeover) -> None:
+        """All is known: these shards are served from here."""
+        state, shards = self._state, takeover.shards
+        for shard in shards:
+            state.owned[shard] = state.view.epochs[shard]
+            state.takeovers.pop(shard, None)
+        self._final_states.adopt(shards)
+        for name in takeover.answered:
+            self._note_compared(name, shards)
+        messages = [message for message in state.messages.values() if message.shard in shards]
+        for message in messages:
+            self._order.join_key(message)
+        waiting = sum(self._resume(now, message) for message in messages)
+        self._replication.copy_waiting(now)
+        fields = {"shards": sorted(shards), "messages": len(messages), "waiting": waiting}
+        state.emit(LogEvent("shards_open", fields))
+        for shard in sorted(shards):
+            self._acceptance.take_parked(now, shard)
+        self._order.dispatch(now)
+
+    def _resume(self, now: float, message: Message) -> bool:
+        """Whether the message has not ended; then it goes on from where the owner before left it."""
+        state = self._state
+        if (final_state := state.final_states.get(message.ref)) is not None:
+            self._endings.finish(now, message, final_state)
+            return False
+        if not self._placement.is_safe(message):
+            message.copied_at = {}
+            self._replication.copy_later(message)
+        if message.ref in state.in_flight:  # sent from here when the shard was ours before
+            message.sender = state.me
+        if message.sender and message.sender in state.view.live_stores:
+            self._order.await_sender(now, message)
+        else:
+            message.sender, message.state = "", State.WAITING
+            self._order.enqueue(now, message)
+        return True
+
+    # Comparing stores that have come back
+
+    def compare_again(self) -> None:
+        """Stores of which it is not known yet what they hold of the own shards."""
+        for name in sorted(self._state.other_stores()):
+            incarnation, shards = self._compared.get(name, ("", set()))
+            is_same = incarnation == self._state.incarnation_of(name)
+            if not is_same or not self._state.owned.keys() <= shards:
+                self.compare(name)
+
+    def compare(self, name: str) -> None:
+        """Asks a store what it holds of the own shards."""
+        shards = sorted(self._state.owned)
+        if shards and name not in self._comparing:
+            self._comparing[name] = {shard: self._state.owned[shard] for shard in shards}
+            self._state.emit(Pull(name, COMPARISON, shards, [], False))
+
+    def _compared_with(self, now: float, store: str, response: PullResponse | None) -> None:
+        asked = self._comparing.pop(store, {})
+        if response is None or store not in self._state.view.live_stores:
+            return
+        # Of a shard that has changed hands since it was asked about, what is unknown here is the new owner's.
+        ours = {shard for shard, epoch in asked.items() if self._state.owned.get(shard) == epoch}
+        for ref in sorted(response.refs):
+            shard = shard_in(ref)
+            if shard is not None and shard in ours:
+                self._compare_message(now, store, ref, shard)
+        self._note_compared(store, ours)
+
+    def _compare_message(self, now: float, store: str, ref: str, shard: int) -> None:
+        """What another store holds, against what is known here."""
+        state = self._state
+        message = state.messages.get(ref)
+        if ref in state.final_states:
+            state.emit(CopyFinalState(store, ref, shard, state.final_states[ref]))
+        elif message is not None and state.owns(message):
+            message.holders.add(store)
+            self._acceptance.check(now, message)
+        elif message is None and state.holds_lease(now):  # else another owner may have taken it since
+            state.emit(DropReplica(store, ref, state.owned[shard]))
+
+    def _note_compared(self, store: str, shards: set[int]) -> None:
+        if store not in self._state.view.live_stores:
+            return
+        present = self._state.incarnation_of(store)
+        incarnation, known = self._compared.get(store, ("", set()))
+        self._compared[store] = (present, (known if incarnation == present else set()) | shards)
+
+    def audits(self) -> dict[str, str]:
+        """Stores whose disks agree with what is owned here, by their incarnation. To be told only while all
+        is
+        safe."""
+        stores = self._state.view.live_stores
+        return {
+            name: incarnation
+            for name, (incarnation, shards) in self._compared.items()
+            if name in stores
+            and stores[name].incarnation == incarnation
+            and self._state.owned.keys() <= shards
+        }
--- a/sableford/store/simulation/__init__.py
+++ b/sableford/store/simulation/__init__.py
@@ -10,6 +10,7 @@
 from random import Random
 
 from sableford.control.coordinator import Coordinator
+from sableford.control.protocol import ConfigurationVersion
 from sableford.control.view import View
 from sableford.control.workers import Worker
 from sableford.store.queue import Queue
@@ -49,7 +50,7 @@
         }
         self.coordinator = Coordinator(1200.0)
         self.doc = doc or DOC
-        self.coordinator.config = {"revision": 1, "doc": self.doc}
+        self.coordinator.config = ConfigurationVersion(1, self.doc)
         self.roster: list[str] = []
         self.term, self.core_up = 0, False
         self.cut: set[frozenset[str]] = set()
--- a/sableford/store/simulation/effects.py
+++ b/sableford/store/simulation/effects.py
@@ -1,151 +1,215 @@
 """What a queue asks for, done in simulated time: its disk, and requests to other stores."""
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
-from sableford.store import messages as queue_messages
-from sableford.store.messages import End
+from msgspec.structs import replace
+
+from sableford.store.messages import (
+    AskFinalStates,
+    CopyFinalState,
+    CopyFinalStates,
+    CopyMessage,
+    Deliver,
+    DropReplica,
+    ListFinalStates,
+    Lookup,
+    Pull,
+    RespondToPut,
+    SendDeliveryResult,
+    WriteFinalState,
+    WriteFinalStates,
+    WriteMessage,
+)
+from sableford.store.protocol import (
+    CopyRequest,
+    FinalState,
+    LookupResponse,
+    MessageHeader,
+    PulledMessage,
+    PullRequest,
+    PullResponse,
+)
 from sableford.store.simulation.model import SYNC, SimulatedStore
 from sableford.store.simulation.network import Network
-from sableford.transport.verdict import Verdict
+
+Reply = Callable[[Any], None]
+
+
+class WrittenMessage(NamedTuple):
+    """A message as a simulated disk holds it."""
+
+    header: MessageHeader
+    body: bytes | None
+    due_at: float
+    sent_at: float
+
+
+class PullAnswer(NamedTuple):
+    """The messages come on the same link, before the response."""
+
+    response: PullResponse
+    messages: list[tuple[PulledMessage, bytes | None]]
 
 
 class Effects(Network):
+    """The world around one store's queue."""
+
     def act(self, store: SimulatedStore, effects: list) -> None:
-        name, birth = store.name, store.birth
+        """Carries them out in their order."""
         for effect in effects:
             match effect:
-                case queue_messages.Keep(what, ref):
-                    self._keep(store, what, ref)
-                case queue_messages.Copy(to, ref, epoch):
-                    message = store.queue.held.get(ref)
-                    if message is None:
-                        continue
-                    head = message.head | message.times(self.now) | {"epoch": list(epoch)}
-                    head["tries"] = message.tries
-                    self._ask(
-                        name,
-                        to,
-                        lambda other, reply, head=head, body=message.body: self._copy(
-                            other, name, head, body, reply
-                        ),
-                        lambda yes, ref=ref, to=to: self.act(
-                            store, store.queue.copied(self.now, ref, to, bool(yes))
-                        ),
-                    )
-                case queue_messages.TellEnd(to, ref, _, end):
-                    self._ask(
-                        name,
-                        to,
-                        lambda other, reply, ref=ref, end=end: self._end(other, ref, end, reply),
-                        lambda yes, ref=ref, to=to: self.act(
-                            store, store.queue.end_copied(self.now, ref, to, bool(yes))
-                        ),
-                    )
-                case queue_messages.Drop(to, ref, epoch):
-                    self._to(name, to, self._drop, ref, epoch)
-                case queue_messages.Fill(to, refs):
-                    ends = {ref: store.queue.ends[ref] for ref in refs if ref in store.queue.ends}
-                    self._ask(
-                        name,
-                        to,
-                        lambda other, reply, ends=ends: self._fill(other, ends, reply),
-                        lambda got, to=to, refs=refs: self.act(
-                            store, store.queue.filled(self.now, to, refs, bool(got))
-                        ),
-                    )
-                case queue_messages.KeepEnds(refs):
+                case WriteMessage(ref):
+                    self._write_message(store, ref)
+                case WriteFinalState(ref):
+                    self._write_final_state(store, ref)
+                case WriteFinalStates(refs):
                     for ref in refs:
-                        self._keep(store, "e", ref)
-                case queue_messages.ListEnds(to, number, shards, after, most):
-                    self._ask(
-                        name,
-                        to,
-                        lambda other, reply, call=(shards, after, most): reply(other.queue.ends_of(*call)),
-                        lambda got, to=to, number=number: self._listed(store, to, number, got),
-                    )
-                case queue_messages.Pull(to, number, shards, have, parts):
-                    self._ask(
-                        name,
-                        to,
-                        lambda other, reply, call=(shards, have, parts): self._pull(other, *call, reply),
-                        lambda got, to=to, number=number: self._pulled(store, to, number, got),
-                    )
-                case queue_messages.Settle(to, number, refs):
-                    self._ask(
-                        name,
-                        to,
-                        lambda other, reply, refs=refs: reply(other.queue.settled_by(refs)),
-                        lambda got, to=to, number=number: self.act(
-                            store, store.queue.settled(self.now, to, number, got)
-                        ),
-                    )
-                case queue_messages.Seek(to, ref):
-                    self._ask(
-                        name,
-                        to,
-                        lambda other, reply, ref=ref: reply(
-                            {"end": list(other.queue.ends[ref]) if ref in other.queue.ends else None}
-                        ),
-                        lambda got, to=to, ref=ref: self.act(
-                            store, store.queue.sought(self.now, to, ref, got)
-                        ),
-                    )
-                case queue_messages.Late(to, ref, shard, verdict):
-                    self._ask(
-                        name,
-                        to,
-                        lambda other, reply, call=(name, ref, shard, verdict): self._late(
-                            other, *call, reply
-                        ),
-                        lambda got, ref=ref: store.queue.told_late(ref) if got else None,
-                    )
-                case queue_messages.Reply(waiter, word):
-                    self.later(self._way(), waiter, word)
-                case queue_messages.Deliver(ref, worker, until):
-                    self._deliver(store, birth, ref, worker, until)
-
-    def _keep(self, store: SimulatedStore, what: str, ref: str) -> None:
-        message, birth = store.queue.held.get(ref), store.birth
-        if message is None and what == "m":
+                        self._write_final_state(store, ref)
+                case DropReplica(to, ref, epoch):
+                    self._to(store.name, to, self._drop, ref, epoch)
+                case RespondToPut(waiter, response):
+                    self.later(self._way(), waiter, response)
+                case Deliver(ref, worker, until):
+                    self._deliver(store, store.incarnation, ref, worker, until)
+                case _:
+                    self._call_store(store, effect)
+
+    def _call_store(self, store: SimulatedStore, effect: Any) -> None:
+        """An effect that is a call to another store."""
+        name, queue = store.name, store.queue
+        match effect:
+            case CopyMessage(to, ref, epoch):
+                if (message := queue.state.messages.get(ref)) is None:
+                    return
+                request, body = message.copy_request(self.now, epoch), message.body
+
+                def copied(accepted: bool | None) -> None:
+                    self.act(store, queue.message_copied(self.now, ref, to, bool(accepted)))
+
+                self._ask(name, to, lambda other, reply: self._copy(other, request, body, reply), copied)
+            case CopyFinalState(to, ref, _, final_state):
+
+                def kept(accepted: bool | None) -> None:
+                    self.act(store, queue.final_state_copied(self.now, ref, to, bool(accepted)))
+
+                self._ask(
+                    name,
+                    to,
+                    lambda other, reply: self._keep_final_state(other, ref, final_state, reply),
+                    kept,
+                )
+            case CopyFinalStates(to, refs):
+                known = {
+                    ref: queue.state.final_states[ref] for ref in refs if ref in queue.state.final_states
+                }
+
+                def filled(accepted: bool | None) -> None:
+                    self.act(store, queue.final_states_copied(self.now, to, refs, bool(accepted)))
+
+                self._ask(name, to, lambda other, reply: self._keep_final_states(other, known, reply), filled)
+            case ListFinalStates(to, number, shards, after, limit):
+                self._ask(
+                    name,
+                    to,
+                    lambda other, reply: reply(other.queue.list_final_states(shards, after, limit)),
+                    lambda page: self._listed(store, to, number, page),
+                )
+            case Pull(to, number, shards, known_refs, with_messages):
+                pull = PullRequest(shards, known_refs, with_messages)
+                self._ask(
+                    name,
+                    to,
+                    lambda other, reply: self._pull(other, pull, reply),
+                    lambda answer: self._pulled(store, to, number, answer),
+                )
+            case AskFinalStates(to, number, refs):
+
+                def answered(known: dict[str, FinalState] | None) -> None:
+                    self.act(store, queue.final_states_answered(self.now, to, number, known))
+
+                self._ask(name, to, lambda other, reply: reply(other.queue.final_states_of(refs)), answered)
+            case Lookup(to, ref):
+
+                def found(response: LookupResponse | None) -> None:
+                    self.act(store, queue.lookup_answered(self.now, to, ref, response))
+
+                self._ask(name, to, lambda other, reply: reply(self._look_up(other, ref)), found)
+            case SendDeliveryResult(to, ref, _, _):
+                self._ask(
+                    name,
+                    to,
+                    lambda other, reply: self._delivery_result(other, name, effect, reply),
+                    lambda accepted: queue.result_reported(ref) if accepted else None,
+                )
+
+    # The own disk
+
+    def _write_message(self, store: SimulatedStore, ref: str) -> None:
+        message, incarnation = store.queue.state.messages.get(ref), store.incarnation
+        if message is None:
             return
         if store.stalled > self.now:
-            self.later(store.stalled - self.now + 0.1, self._keep, store, what, ref)
+            self.later(store.stalled - self.now + 0.1, self._write_message, store, ref)
             return
         if store.full > self.now:
-            refused = store.queue.kept(self.now, what, ref, "full")
-            self._when_awake(store.name, birth, lambda: self.act(store, refused))
+            refused = store.queue.message_written(self.now, ref, "full")
+            self._when_awake(store.name, incarnation, lambda: self.act(store, refused))
             return
-        if what == "m":
-            value: Any = (
-                dict(message.head) | {"tries": message.tries},
-                message.body,
-                message.due,
-                message.born,
-            )
-        else:
-            value = store.queue.ends.get(ref)
-            if value is None:
-                return
-        self.later(self.draw.uniform(*SYNC), self._kept, store, birth, what, ref, value)
-
-    def _kept(self, store: SimulatedStore, birth: str, what: str, ref: str, value: Any) -> None:
-        if not self._up(store.name, birth):
+        header = replace(message.header, attempts=message.attempts)
+        value = WrittenMessage(header, message.body, message.due_at, message.sent_at)
+        self.later(self.draw.uniform(*SYNC), self._message_written, store, incarnation, ref, value)
+
+    def _message_written(
+        self, store: SimulatedStore, incarnation: str, ref: str, value: WrittenMessage
+    ) -> None:
+        if not self._up(store.name, incarnation):
             return
-        if what == "m":
-            store.kept["m", ref] = value
-        else:
-            store.kept.pop(("m", ref), None)
-            store.kept["e", ref] = value
-        if what == "m" and ref in store.queue.held and store.queue.held[ref].shard not in store.queue.owned:
-            store.queue.copy_kept(ref)
-        self._when_awake(store.name, birth, lambda: self.act(store, store.queue.kept(self.now, what, ref)))
+        store.kept["m", ref] = value
+        message = store.queue.state.messages.get(ref)
+        if message is not None and message.shard not in store.queue.state.owned:
+            store.queue.replica_written(ref)
+        self._when_awake(
+            store.name,
+            incarnation,
+            lambda: self.act(store, store.queue.message_written(self.now, ref)),
+        )
+
+    def _write_final_state(self, store: SimulatedStore, ref: str) -> None:
+        incarnation = store.incarnation
+        if store.stalled > self.now:
+            self.later(store.stalled - self.now + 0.1, self._write_final_state, store, ref)
+            return
+        if store.full > self.now:
+            refused = store.queue.final_state_written(self.now, ref, "full")
+            self._when_awake(store.name, incarnation, lambda: self.act(store, refused))
+            return
+        final_state = store.queue.state.final_states.get(ref)
+        if final_state is not None:
+            after = self.draw.uniform(*SYNC)
+            self.later(after, self._final_state_written, store, incarnation, ref, final_state)
+
+    def _final_state_written(
+        self, store: SimulatedStore, incarnation: str, ref: str, final_state: FinalState
+    ) -> None:
+        if not self._up(store.name, incarnation):
+            return
+        store.kept.pop(("m", ref), None)
+        store.kept["e", ref] = final_state
+        self._when_awake(
+            store.name,
+            incarnation,
+            lambda: self.act(store, store.queue.final_state_written(self.now, ref)),
+        )
 
-    def _copy(self, store: SimulatedStore, sender: str, head: dict, body: bytes, reply: Callable) -> None:
-        if not store.queue.copy(self.now, sender, head, body):
+    # Requests at the other store
+
+    def _copy(self, store: SimulatedStore, request: CopyRequest, body: bytes | None, reply: Reply) -> None:
+        if not store.queue.replica_offered(self.now, request, body):
             reply(False)
             return
-        message, birth, ref = store.queue.held.get(head["ref"]), store.birth, head["ref"]
+        ref = request.ref
+        message, incarnation = store.queue.state.messages.get(ref), store.incarnation
         if store.stalled > self.now:
             return  # it answers once its disk does; by then others have been asked
         if message is None or message.synced:
@@ -155,67 +219,78 @@
             reply(False)
             return
 
-        def kept() -> None:
-            if self._up(store.name, birth):
-                store.kept["m", ref] = (dict(message.head), message.body or body, message.due, message.born)
-                store.queue.copy_kept(ref)
+        def written() -> None:
+            if self._up(store.name, incarnation):
+                store.kept["m", ref] = WrittenMessage(
+                    message.header, message.body or body, message.due_at, message.sent_at
+                )
+                store.queue.replica_written(ref)
                 message.body = body
                 reply(True)
 
-        self.later(self.draw.uniform(*SYNC), kept)
+        self.later(self.draw.uniform(*SYNC), written)
 
-    def _end(self, store: SimulatedStore, ref: str, end: End, reply: Callable) -> None:
-        birth = store.birth
-        self.act(store, store.queue.end_told(self.now, ref, end))
+    def _keep_final_state(
+        self, store: SimulatedStore, ref: str, final_state: FinalState, reply: Reply
+    ) -> None:
+        incarnation = store.incarnation
+        self.act(store, store.queue.final_state_learned(self.now, ref, final_state))
         if store.stalled > self.now:
             return
         if store.full > self.now:
             reply(False)
             return
 
-        def kept() -> None:
-            if self._up(store.name, birth):
+        def written() -> None:
+            if self._up(store.name, incarnation):
                 store.kept.pop(("m", ref), None)
-                store.kept["e", ref] = end
-                self.act(store, store.queue.kept(self.now, "e", ref))
+                store.kept["e", ref] = final_state
+                self.act(store, store.queue.final_state_written(self.now, ref))
                 reply(True)
 
-        self.later(self.draw.uniform(*SYNC), kept)
+        self.later(self.draw.uniform(*SYNC), written)
 
-    def _fill(self, store: SimulatedStore, ends: dict[str, End], reply: Callable) -> None:
-        waits = set(ends)
+    def _keep_final_states(
+        self, store: SimulatedStore, final_states: dict[str, FinalState], reply: Reply
+    ) -> None:
+        waits = set(final_states)
 
-        def kept(ref: str) -> None:
+        def written(ref: str) -> None:
             waits.discard(ref)
             if not waits:
                 reply(True)
 
-        for ref, end in ends.items():
-            self._end(store, ref, end, lambda yes, ref=ref: kept(ref))
+        for ref, final_state in final_states.items():
+            self._keep_final_state(store, ref, final_state, lambda yes, ref=ref: written(ref))
 
-    def _listed(self, store: SimulatedStore, to: str, number: int, got: tuple | None) -> None:
-        refs, last = got or (None, True)
-        self.act(store, store.queue.ends_listed(self.now, to, number, refs, last))
+    def _listed(self, store: SimulatedStore, to: str, number: int, page: tuple | None) -> None:
+        refs, is_last = page or (None, True)
+        self.act(store, store.queue.final_states_listed(self.now, to, number, refs, is_last))
 
     def _drop(self, store: SimulatedStore, ref: str, epoch: tuple) -> None:
-        if store.queue.dropped(self.now, ref, epoch):
+        if store.queue.drop_allowed(self.now, ref, epoch):
             store.kept.pop(("m", ref), None)
 
-    def _pull(self, store: SimulatedStore, shards: list, have: list, parts: bool, reply: Callable) -> None:
-        """The messages come down the same line, before the answer."""
-        word, messages = store.queue.pulled_by(self.now, shards, have, parts)
-        sent = [(one.head | one.times(self.now), one.body or store.kept["m", one.ref][1]) for one in messages]
-        reply((word, sent))
+    def _pull(self, store: SimulatedStore, request: PullRequest, reply: Reply) -> None:
+        response, messages = store.queue.answer_pull(request)
+        sent = [(one.pulled_message(self.now), one.body or store.kept["m", one.ref].body) for one in messages]
+        reply(PullAnswer(response, sent))
+
+    def _pulled(self, store: SimulatedStore, to: str, number: int, answer: PullAnswer | None) -> None:
+        for message, body in answer.messages if answer is not None else ():
+            self.act(store, store.queue.message_pulled(self.now, message, body))
+        response = answer.response if answer is not None else None
+        self.act(store, store.queue.pull_answered(self.now, to, number, response))
 
-    def _pulled(self, store: SimulatedStore, to: str, number: int, got: tuple | None) -> None:
-        word, sent = got or (None, [])
-        for head, body in sent:
-            self.act(store, store.queue.part(self.now, head, body))
-        self.act(store, store.queue.pulled(self.now, to, number, word))
+    def _look_up(self, store: SimulatedStore, ref: str) -> LookupResponse:
+        return LookupResponse(store.queue.state.final_states.get(ref))
 
-    def _late(
-        self, store: SimulatedStore, sender: str, ref: str, shard: int, verdict: Verdict, reply: Callable
+    def _delivery_result(
+        self, store: SimulatedStore, sender: str, result: SendDeliveryResult, reply: Reply
     ) -> None:
-        takes = store.queue.takes_late(shard)
-        self.act(store, store.queue.late(self.now, sender, ref, shard, verdict))
-        reply(takes)
+        accepts = store.queue.accepts_results(result.shard)
+        self.act(
+            store,
+            store.queue.delivery_reported(self.now, sender, result.ref, result.shard, result.verdict),
+        )
+        reply(accepts)
--- a/sableford/store/simulation/faults.py
+++ b/sableford/store/simulation/faults.py
@@ -71,7 +71,7 @@
             self.later(200.0, self._terminate, store)  # in turn
             return
         store.leaving = True
-        self.later(GRACE_MS, self._killed, store.name, store.birth)
+        self.later(GRACE_MS, self._killed, store.name, store.incarnation)
 
     def _replace_in_order(self, store: SimulatedStore) -> None:
         """The successor comes first; once the old one has ended it is gone for good."""
@@ -113,7 +113,7 @@
                 self.later(down, self.cut.difference_update, pairs)
             case "hang":  # it is cut off, and its disk, with all bytes, answers only after its lease is over
                 store.stalled = self.now + down
-                for message in store.queue.held.values():
+                for message in store.queue.state.messages.values():
                     message.body = None if message.synced else message.body
                 alone = {frozenset((name, other)) for other in [*self.stores, "core"] if other != name}
                 self.cut |= alone
@@ -162,9 +162,9 @@
         self.stores[name] = SimulatedStore(name, zone)
         return name
 
-    def _killed(self, name: str, birth: str) -> None:
+    def _killed(self, name: str, incarnation: str) -> None:
         """It has ended by itself, or its grace is over."""
-        if self._up(name, birth):
+        if self._up(name, incarnation):
             self.end(name)
             if not self.stores[name].replaced:
                 self.later(800.0, self._start_again, name)
--- a/sableford/store/simulation/judge.py
+++ b/sableford/store/simulation/judge.py
@@ -3,6 +3,7 @@
 from typing import Any
 
 from sableford.store.messages import State
+from sableford.store.queue_state import COMPLETE
 from sableford.store.simulation.model import CALM, Seen, Wrong
 from sableford.store.simulation.network import Network
 
@@ -47,7 +48,7 @@
     def shards_served(self) -> int:
         """How many shards are open at an owner that may act."""
         alive = [store for store in self.stores.values() if store.alive and store.frozen <= self.now]
-        return sum(len(store.queue.owned) for store in alive if store.queue.holds(self.now))
+        return sum(len(store.queue.state.owned) for store in alive if store.queue.state.holds_lease(self.now))
 
     def judge(self) -> None:
         """At the end, all being well again."""
@@ -62,9 +63,11 @@
             if not states:
                 raise self._wrong("LOST (no state)", ref)
             for state in states:
-                if state["phase"] == "complete" and state["seal"] not in self.seals.get(ref, ()):
+                if state.phase == COMPLETE and state.seal not in self.seals.get(ref, ()):
                     raise self._wrong("MIXED", ref)
         live = [store for store in self.stores.values() if store.alive]
-        held = [m.ref for s in live for m in s.queue.held.values() if m.state.name != State.COPY.name]
+        held = [
+            m.ref for s in live for m in s.queue.state.messages.values() if m.state.name != State.REPLICA.name
+        ]
         if held:
             raise self._wrong("NEVER ENDS", held[0])
--- a/sableford/store/simulation/leader.py
+++ b/sableford/store/simulation/leader.py
@@ -2,66 +2,85 @@
 
 import msgspec
 
-from sableford.control.coordinator import LEASE, RENEW, Done, News, Register, Strike
+from sableford.control.effects import AddStore, RemoveStore, SendUpdate, WaitEnded
+from sableford.control.protocol import JoinRequest, MemberStatus, RenewRequest, Update, with_status
+from sableford.control.timing import LEASE_MS, RENEW_MS
 from sableford.control.view import View
 from sableford.control.workers import Worker, WorkerTable
-from sableford.store.choice import Line
+from sableford.store.choice import WorkerEntry
+from sableford.store.simulation.model import SimulatedStore
 from sableford.store.simulation.network import Network
 
 
 class LeaderSide(Network):
-    def _renew(self, name: str, birth: str) -> None:
-        if not self._up(name, birth):
+    def _renew(self, name: str, incarnation: str) -> None:
+        if not self._up(name, incarnation):
             return
         store = self.stores[name]
-        self.later(RENEW if store.joined else 60.0, self._renew, name, birth)
+        self.later(RENEW_MS if store.joined else 60.0, self._renew, name, incarnation)
         if store.frozen > self.now or not self.core_up or not self._reach(name, "core"):
             store.joined = store.joined and self.core_up and store.frozen > self.now
             return
-        said = {"birth": birth, "role": "store", "zone": store.zone, "node": name, "leaving": store.leaving}
-        number, is_safe = list(store.queue.view.number), store.queue.safe()
-        said |= {"whole": store.queue.whole, "audits": store.queue.audits() if is_safe else {}}
-        said |= {"empty": store.empty, "safe": number if is_safe else [0, 0]}
-        said["full"] = store.queue.full = store.full > self.now
-        said["spares"] = number if is_safe and not store.queue.counts_on_leaving() else [0, 0]
-        said["view"] = msgspec.to_builtins(store.queue.view)
+        status, view = self._status(store), store.queue.state.view
         sent, term = self.now, self.term
         if store.joined and store.term == term:
-            self.later(self._way(), self._renewed, name, birth, said, sent)
+            self.later(self._way(), self._renewed, name, incarnation, status, sent)
             return
-        self.later(self._way(), self._join, name, birth, said, sent, term)
+        self.later(self._way(), self._join, name, status, view, sent, term)
 
-    def _renewed(self, name: str, birth: str, said: dict, sent: float) -> None:
+    def _status(self, store: SimulatedStore) -> MemberStatus:
+        queue = store.queue
+        number, is_safe = queue.state.view.number, queue.is_safe()
+        is_full = queue.state.full = store.full > self.now
+        return MemberStatus(
+            incarnation=store.incarnation,
+            role="store",
+            zone=store.zone,
+            node=store.name,
+            leaving=store.leaving,
+            complete=queue.state.complete,
+            empty=store.empty,
+            full=is_full,
+            audits=queue.audits() if is_safe else {},
+            safe=number if is_safe else (0, 0),
+            safe_without_leaving=number if is_safe and not queue.counts_on_leaving() else (0, 0),
+        )
+
+    def _renewed(self, name: str, incarnation: str, status: MemberStatus, sent: float) -> None:
         store = self.stores[name]
-        if self.core_up and self.coordinator.renewed(self.now, name, said):
+        request = with_status(RenewRequest, status, update_number=0, term=self.term)
+        if self.core_up and self.coordinator.renewed(self.now, name, request):
             self._coordinate(self.coordinator.tick(self.now))
-            self.later(self._way(), self._extend, name, birth, sent)
+            self.later(self._way(), self._extend, name, incarnation, sent)
         else:
             store.joined = False
 
-    def _join(self, name: str, birth: str, said: dict, sent: float, term: int) -> None:
-        if not self.core_up or term != self.term or not self._up(name, birth):
+    def _join(self, name: str, status: MemberStatus, view: View, sent: float, term: int) -> None:
+        incarnation = status.incarnation
+        if not self.core_up or term != self.term or not self._up(name, incarnation):
             return
         store = self.stores[name]
         store.joined, store.term, store.view_number = True, term, -1
-        self.later(self._way(), self._extend, name, birth, sent)
-        self._coordinate(self.coordinator.joined(self.now, name, said))
+        self.later(self._way(), self._extend, name, incarnation, sent)
+        request = with_status(JoinRequest, status, view=view)
+        self._coordinate(self.coordinator.joined(self.now, name, request))
 
-    def _extend(self, name: str, birth: str, sent: float) -> None:
-        if self._up(name, birth) and self.stores[name].frozen <= self.now:
+    def _extend(self, name: str, incarnation: str, sent: float) -> None:
+        if self._up(name, incarnation) and self.stores[name].frozen <= self.now:
             queue = self.stores[name].queue
-            queue.lease = max(queue.lease, sent + LEASE)
+            queue.state.lease = max(queue.state.lease, sent + LEASE_MS)
 
     def _coordinate(self, effects: list) -> None:
         for effect in effects:
             match effect:
-                case News(to, word):
-                    self.later(self._way(), self._news, to, self.stores[to].birth, word, self.term)
-                case Register(name):
+                case SendUpdate(to, update):
+                    incarnation = self.stores[to].incarnation
+                    self.later(self._way(), self._update, to, incarnation, update, self.term)
+                case AddStore(name):
                     self.later(8.0, self._enrol, name, True)
-                case Strike(name):
+                case RemoveStore(name):
                     self.later(8.0, self._enrol, name, False)
-                case Done():
+                case WaitEnded():
                     pass
 
     def _enrol(self, name: str, stands: bool) -> None:
@@ -72,39 +91,43 @@
             coordinator.retired.add(name)
             self.end(name)
         if self.core_up:
-            coordinator.struck(name)
+            coordinator.roster_change_ended(name)
             self._coordinate(
-                coordinator.enrol(self.now, self.roster, set(coordinator.retiring), set(coordinator.retired))
+                coordinator.roster_changed(
+                    self.now, self.roster, set(coordinator.retiring), set(coordinator.retired)
+                )
             )
 
-    def _news(self, name: str, birth: str, word: dict, term: int) -> None:
+    def _update(self, name: str, incarnation: str, update: Update, term: int) -> None:
         store = self.stores[name]
-        if not self._up(name, birth) or term != self.term or not self._reach(name, "core"):
+        if not self._up(name, incarnation) or term != self.term or not self._reach(name, "core"):
             return
         if store.frozen > self.now:
-            self.later(store.frozen - self.now + 0.1, self._news, name, birth, word, term)
+            after = store.frozen - self.now + 0.1
+            self.later(after, self._update, name, incarnation, update, term)
             return
-        if not word.get("whole") and word["prev"] != store.view_number:
+        if not update.snapshot and update.previous != store.view_number:
             store.joined = False
             return
-        store.view_number = word["n"]
-        for one in [*word.get("workers", ()), *([word["worker"]] if "worker" in word else ())]:
-            host, port = one["address"].split(":")
-            line = Line(one["id"], one["backend"], host, int(port), one["zone"], one["capacity"], True)
-            store.choice.put(self.now, line, 0.0)
-        if "view" in word:
-            view = msgspec.convert(word["view"], View)
-            if view.number > store.queue.view.number:
+        store.view_number = update.number
+        for worker in [*(update.workers or ()), *([update.worker] if update.worker else ())]:
+            host, port = worker.address.split(":")
+            entry = WorkerEntry(
+                worker.id, worker.backend, host, int(port), worker.zone, worker.capacity, True
+            )
+            store.choice.put(self.now, entry, 0.0)
+        if (view := update.view) is not None:
+            if view.number > store.queue.state.view.number:
                 self.moves += 1
-                self.act(store, store.queue.see(self.now, view))
-                store.kept_zones = dict(store.queue.zone_of)
+                self.act(store, store.queue.apply_view(self.now, view))
+                store.kept_zones = dict(store.queue.state.zone_of)
             if view.number > self.edge_view.number:
                 self.edge_view = view
-        self.later(self._way(), self._ack, name, birth, word["n"], term)
+        self.later(self._way(), self._ack, name, incarnation, update.number, term)
 
-    def _ack(self, name: str, birth: str, number: int, term: int) -> None:
+    def _ack(self, name: str, incarnation: str, number: int, term: int) -> None:
         if self.core_up and term == self.term and self._reach(name, "core"):
-            self._coordinate(self.coordinator.acked(self.now, name, birth, number))
+            self._coordinate(self.coordinator.acknowledged(self.now, name, incarnation, number))
 
     def core(self, up: bool) -> None:
         """The leader goes, or another one takes the lead."""
@@ -116,10 +139,12 @@
             # Who leads next has what it was told as a member, or less.
             self.coordinator.step_down()
             self.coordinator.registry.table = WorkerTable()
-            self._coordinate(self.coordinator.lead(self.now, self.term))
+            self._coordinate(self.coordinator.become_leader(self.now, self.term))
             coordinator = self.coordinator
             self._coordinate(
-                coordinator.enrol(self.now, self.roster, set(coordinator.retiring), set(coordinator.retired))
+                coordinator.roster_changed(
+                    self.now, self.roster, set(coordinator.retiring), set(coordinator.retired)
+                )
             )
             for name, store in self.stores.items():
                 if not store.alive:
@@ -134,5 +159,5 @@
             self._coordinate(self.coordinator.tick(self.now))
 
     def _beat(self, worker: Worker) -> None:
-        line = msgspec.structs.replace(worker, revision="v", count=int(self.now))
-        self._coordinate(self.coordinator.beat(self.now, line)[1])
+        entry = msgspec.structs.replace(worker, revision="v", count=int(self.now))
+        self._coordinate(self.coordinator.worker_heartbeat(self.now, entry)[1])
--- a/sableford/store/simulation/model.py
+++ b/sableford/store/simulation/model.py
@@ -58,7 +58,7 @@
         self.mark = ""  # "whole" once it is
         self.alive, self.frozen, self.stalled = False, 0.0, 0.0
         self.full = 0.0  # until then its disk takes nothing
-        self.birth = ""
+        self.incarnation = ""
         self.queue: Queue | None = None
         self.choice: Choice | None = None
         self.view_number, self.term, self.joined, self.leaving = 0, 0, False, False
--- a/sableford/store/simulation/network.py
+++ b/sableford/store/simulation/network.py
@@ -18,9 +18,9 @@
     def _reach(self, one: str, other: str) -> bool:
         return frozenset((one, other)) not in self.cut
 
-    def _up(self, name: str, birth: str) -> bool:
+    def _up(self, name: str, incarnation: str) -> bool:
         store = self.stores[name]
-        return store.alive and store.birth == birth
+        return store.alive and store.incarnation == incarnation
 
     def _to(self, sender: str, to: str, do: Callable, *given: Any) -> bool:
         """A word to another store: in order, or lost with the line."""
@@ -28,30 +28,30 @@
             return False
         if self.now < self.stores[to].up_at + crc32(f"{sender}{to}{self.seed}".encode()) % 600:
             return False  # its line is not dialled yet
-        self.later(self._way(), self._arrive, sender, to, self.stores[to].birth, do, given)
+        self.later(self._way(), self._arrive, sender, to, self.stores[to].incarnation, do, given)
         return True
 
-    def _arrive(self, sender: str, to: str, birth: str, do: Callable, given: tuple) -> None:
+    def _arrive(self, sender: str, to: str, incarnation: str, do: Callable, given: tuple) -> None:
         store = self.stores[to]
-        if not self._up(to, birth) or not self._reach(sender, to):
+        if not self._up(to, incarnation) or not self._reach(sender, to):
             return
         if store.frozen > self.now:
-            self.later(store.frozen - self.now + 0.1, self._arrive, sender, to, birth, do, given)
+            self.later(store.frozen - self.now + 0.1, self._arrive, sender, to, incarnation, do, given)
             return
         do(store, *given)
 
     def _ask(self, sender: str, to: str, ask: Callable, then: Callable) -> None:
         """`then(answer)` at the sender; None after a while where none came."""
-        birth, over = self.stores[sender].birth, []
-        life = self.stores[sender].queue.life(to)
+        incarnation, over = self.stores[sender].incarnation, []
+        life = self.stores[sender].queue.state.incarnation_of(to)
 
         def arrived(answer: Any) -> None:
-            then(answer if self.stores[sender].queue.life(to) == life else None)
+            then(answer if self.stores[sender].queue.state.incarnation_of(to) == life else None)
 
         def back(answer: Any) -> None:
-            if not over and self._up(sender, birth):
+            if not over and self._up(sender, incarnation):
                 over.append(True)
-                self._when_awake(sender, birth, lambda: arrived(answer))
+                self._when_awake(sender, incarnation, lambda: arrived(answer))
 
         def there(store: SimulatedStore) -> None:
             ask(store, lambda answer: self.later(self._way(), answered, answer))
@@ -62,11 +62,11 @@
 
         self.later(1200.0 if self._to(sender, to, there) else 15.0, back, None)
 
-    def _when_awake(self, name: str, birth: str, do: Callable) -> None:
+    def _when_awake(self, name: str, incarnation: str, do: Callable) -> None:
         store = self.stores[name]
-        if not self._up(name, birth):
+        if not self._up(name, incarnation):
             return
         if store.frozen > self.now:
-            self.later(store.frozen - self.now + 0.1, self._when_awake, name, birth, do)
+            self.later(store.frozen - self.now + 0.1, self._when_awake, name, incarnation, do)
         else:
             do()
--- a/sableford/store/simulation/store_lives.py
+++ b/sableford/store/simulation/store_lives.py
@@ -14,26 +14,25 @@
         store = self.stores[name]
         store.alive, store.leaving, store.joined = True, False, False
         self.dark.discard(name)
-        store.birth, store.up_at = f"{name}.{next(self._count)}", self.now
-        store.choice = Choice(store.zone, store.birth)
+        store.incarnation, store.up_at = f"{name}.{next(self._count)}", self.now
+        store.choice = Choice(store.zone, store.incarnation)
         whole, store.empty = store.mark == "whole" or (bootstrap and not store.mark), not store.kept
         store.mark = "whole" if whole else "lost"
         queue = store.queue = self._make(
-            name, store.birth, MACHINE_LOSS, Table(1, self.doc), store.choice, 600.0, whole, self.zones
+            name, store.incarnation, MACHINE_LOSS, Table(1, self.doc), store.choice, 600.0, whole, self.zones
         )
-        queue.zone_of = dict(store.kept_zones)
-        queue.view = View(zones=dict(store.kept_zones))
+        queue.state.zone_of = dict(store.kept_zones)
+        queue.state.view = View(zones=dict(store.kept_zones))
         for (what, ref), value in store.kept.items():
             if what == "e":
-                queue.ends[ref] = value
+                queue.state.final_states[ref] = value
         for (what, ref), value in store.kept.items():
-            if what == "m" and ref not in queue.ends:
-                head, body, due, born = value
-                message = Message(dict(head), body, due, born)
+            if what == "m" and ref not in queue.state.final_states:
+                message = Message(*value)
                 message.synced = True
-                queue.held[ref] = message
-        self._renew(name, store.birth)
-        self._tick(name, store.birth)
+                queue.state.messages[ref] = message
+        self._renew(name, store.incarnation)
+        self._tick(name, store.incarnation)
 
     def end(self, name: str) -> None:
         self.stores[name].alive = False
@@ -46,19 +45,19 @@
             and name not in self.dark
             and self._reach(name, "core")
         ):
-            self._coordinate(self.coordinator.over(self.now, name))
+            self._coordinate(self.coordinator.process_ended(self.now, name))
 
-    def _tick(self, name: str, birth: str) -> None:
-        if not self._up(name, birth):
+    def _tick(self, name: str, incarnation: str) -> None:
+        if not self._up(name, incarnation):
             return
         store = self.stores[name]
-        self.later(15.0, self._tick, name, birth)
+        self.later(15.0, self._tick, name, incarnation)
         if store.frozen <= self.now:
-            store.queue.quiet = {
+            store.queue.state.unresponsive = {
                 other for other in self.stores if not self.stores[other].alive or not self._reach(name, other)
             }
             self.act(store, store.queue.tick(self.now, self.now))
             if self.draw.random() < 0.03:
                 self.act(store, store.queue.repair(self.now))
             if store.leaving and may_end(store.queue):
-                self._killed(name, birth)
+                self._killed(name, incarnation)
--- a/sableford/store/simulation/traffic.py
+++ b/sableford/store/simulation/traffic.py
@@ -1,9 +1,10 @@
 """Workers that run what they are sent, and clients that send it."""
 
 from sableford.control.view import shard_of
+from sableford.store.protocol import PutRequest, PutResponse
 from sableford.store.simulation.judge import Judge
 from sableford.store.simulation.model import READ, SimulatedStore
-from sableford.transport.verdict import Ran, Verdict
+from sableford.transport.verdict import Execution, Verdict
 
 
 class Traffic(Judge):
@@ -20,10 +21,10 @@
                             lambda to, c=counts, s=store.name: to.choice.told(self.now, s, c),
                         )
 
-    def _deliver(self, store: SimulatedStore, birth: str, ref: str, worker: str, until: float) -> None:
-        message = store.queue.held.get(ref)
+    def _deliver(self, store: SimulatedStore, incarnation: str, ref: str, worker: str, until: float) -> None:
+        message = store.queue.state.messages.get(ref)
         if message is None or message.body is not None:
-            self._send(store, birth, ref, worker, until)
+            self._send(store, incarnation, ref, worker, until)
             return
         if ("m", ref) not in store.kept:
             raise self._wrong("LOST (its bytes)", ref)
@@ -32,39 +33,49 @@
             read,
             self._when_awake,
             store.name,
-            birth,
-            lambda: self._send(store, birth, ref, worker, until),
+            incarnation,
+            lambda: self._send(store, incarnation, ref, worker, until),
         )
 
-    def _send(self, store: SimulatedStore, birth: str, ref: str, worker: str, until: float) -> None:
+    def _send(self, store: SimulatedStore, incarnation: str, ref: str, worker: str, until: float) -> None:
         """Its bytes are there, and its worker is dialled."""
         if self.now > until or not store.queue.may_send(self.now, ref, worker):
-            self._over(store, birth, ref, worker, Verdict(Ran.NOT_RUN, "not this store's to send any more"))
+            self._over(
+                store,
+                incarnation,
+                ref,
+                worker,
+                Verdict(Execution.NOT_RUN, "not this store's to send any more"),
+            )
             return
         shard = int(ref[:2])
         if (owner := self.coordinator.view.owners[shard]) and (
             owner,
-            self.coordinator.view.births[shard],
+            self.coordinator.view.incarnations[shard],
         ) != (
             store.name,
-            birth,
+            incarnation,
         ):
             self._note(ref, "begun by", store.name, "owned by", owner)
             raise self._wrong("FENCE", ref)
         if self.busy[worker] >= 6:
-            self.later(1.0, self._over, store, birth, ref, worker, Verdict(Ran.NOT_RUN, "full"))
+            self.later(1.0, self._over, store, incarnation, ref, worker, Verdict(Execution.NOT_RUN, "full"))
             return
         self.busy[worker] += 1
-        self.later(self._way() + self.draw.uniform(0.0, 3.0), self._run, store, birth, ref, worker, until)
+        self.later(
+            self._way() + self.draw.uniform(0.0, 3.0), self._run, store, incarnation, ref, worker, until
+        )
 
-    def _run(self, store: SimulatedStore, birth: str, ref: str, worker: str, until: float) -> None:
+    def _run(self, store: SimulatedStore, incarnation: str, ref: str, worker: str, until: float) -> None:
         self._starts(ref, store.name)
         after = self.draw.uniform(10.0, 120.0)
         poison = ref.endswith("7p")
         good = not poison and self.draw.random() > 0.05
-        self.later(after, self._ran, store, birth, ref, worker, good, self.draw.random() < 0.01)
+        self.later(after, self._ran, store, incarnation, ref, worker, good, self.draw.random() < 0.01)
 
-    def _ran(self, store: SimulatedStore, birth: str, ref: str, worker: str, good: bool, lost: bool) -> None:
+    def _ran(
+        self, store: SimulatedStore, incarnation: str, ref: str, worker: str, good: bool, lost: bool
+    ) -> None:
         self.busy[worker] -= 1
         seal = f"{ref}@{self.now:.3f}"
         self._note(ref, "ran well" if good else "failed", store.name)
@@ -75,20 +86,26 @@
             self.fails[ref] = self.fails.get(ref, 0) + 1
             if self.fails[ref] >= 3:
                 self.ended.setdefault(ref, self.now)
-        if lost or not self._up(store.name, birth):
+        if lost or not self._up(store.name, incarnation):
             self.later(
-                300.0, self._over, store, birth, ref, worker, Verdict(Ran.MAYBE, "lost", reached=False)
+                300.0,
+                self._over,
+                store,
+                incarnation,
+                ref,
+                worker,
+                Verdict(Execution.UNKNOWN, "lost", reached=False),
             )
             return
         if good:
             self.done_at.setdefault(self.first.get(ref, ref), self.now)
-        verdict = Verdict(Ran.DONE, "", seal) if good else Verdict(Ran.FAILED, "failed")
-        self.later(self._way(), self._over, store, birth, ref, worker, verdict)
+        verdict = Verdict(Execution.DONE, "", seal) if good else Verdict(Execution.FAILED, "failed")
+        self.later(self._way(), self._over, store, incarnation, ref, worker, verdict)
 
-    def _over(self, store: SimulatedStore, birth: str, ref: str, worker: str, verdict: Verdict) -> None:
+    def _over(self, store: SimulatedStore, incarnation: str, ref: str, worker: str, verdict: Verdict) -> None:
         self._when_awake(
             store.name,
-            birth,
+            incarnation,
             lambda: self.act(store, store.queue.delivered(self.now, ref, worker, verdict)),
         )
 
@@ -113,33 +130,42 @@
             return
         owner = self.edge_view.owners[shard]
         store = self.stores.get(owner)
-        head = {
-            "ref": ref, "shard": shard, "key": key, "id": id, "host": "h", "target": "/a" if key else "/b",
-            "method": "POST", "delay": delay, "age": self.now - since, "revision": 1, "again": again,
-        }  # fmt: skip
+        request = PutRequest(
+            ref=ref,
+            shard=shard,
+            key=key,
+            id=id,
+            host="h",
+            target="/a" if key else "/b",
+            method="POST",
+            delay_ms=delay,
+            age_ms=self.now - since,
+            revision=1,
+            is_retry=again,
+        )
         over: list = []
 
-        def answered(word: dict | None) -> None:
+        def answered(response: PutResponse | None) -> None:
             if over or not self._reach("edge", owner):
                 return
             over.append(True)
-            if word and word.get("kept"):
+            if response is not None and response.kept:
                 self.accepted.setdefault(ref, self.now)
                 self._note(ref, "accepted", owner)
             else:
-                unclear = word is None or bool(word.get("may"))
+                unclear = response is None or response.maybe_kept
                 self._put_later(ref, shard, key, id, delay, since, again or unclear)
 
         if store is None or not store.alive or not self._reach("edge", owner):
             self._put_later(ref, shard, key, id, delay, since, again)
             return
-        birth = store.birth
+        incarnation = store.incarnation
         self.later(
             self._way(),
             self._when_awake,
             owner,
-            birth,
-            lambda: self.act(store, store.queue.put(self.now, head, b"x", answered)),
+            incarnation,
+            lambda: self.act(store, store.queue.put(self.now, request, b"x", answered)),
         )
         self.later(700.0, answered, None)
 
--- a/sableford/transport/__init__.py
+++ b/sableford/transport/__init__.py
@@ -1,20 +1,42 @@
 """What every process of the system shares to speak with the others.
 
-Netstrings of JSON over held connections (`links`), HTTP/1.1 for outside callers (`http`), and the verdict on
-whether a request may have run (`verdict`).
+Typed messages in frames over held connections (`link`, `link_pool`, `peer_server`), HTTP/1.1 for outside
+callers (`http_server`, `http_client`), and the verdict on whether a request may have been executed
+(`verdict`).
 """
 
-from sableford.transport.links import Broken, Link, LinkPool
-from sableford.transport.verdict import CallFailed, CallResult, NotSent, Ran, Unanswered, Verdict
+from sableford.transport.errors import (
+    CallError,
+    MalformedFrameError,
+    MalformedResponseError,
+    NotSentError,
+    TransportError,
+    UnansweredError,
+    UnknownOperationError,
+)
+from sableford.transport.link import CallResult, IncomingMessage, Link, Response
+from sableford.transport.link_pool import LinkPool
+from sableford.transport.messages import PeerMessage, PeerRequest, PeerResponse
+from sableford.transport.peer_server import PeerServer
+from sableford.transport.verdict import Execution, Verdict
 
 __all__ = [
-    "Broken",
-    "CallFailed",
+    "CallError",
     "CallResult",
+    "Execution",
+    "IncomingMessage",
     "Link",
     "LinkPool",
-    "NotSent",
-    "Ran",
-    "Unanswered",
+    "MalformedFrameError",
+    "MalformedResponseError",
+    "NotSentError",
+    "PeerMessage",
+    "PeerRequest",
+    "PeerResponse",
+    "PeerServer",
+    "Response",
+    "TransportError",
+    "UnansweredError",
+    "UnknownOperationError",
     "Verdict",
 ]
--- a/sableford/transport/http.py
+++ b/sableford/transport/http.py
@@ -8,6 +8,8 @@
 
 
 class Answer(NamedTuple):
+    """A complete answer; `kind` is its content type."""
+
     status: int
     body: bytes = b""
     headers: tuple[tuple[str, str], ...] = ()
@@ -28,7 +30,9 @@
 
     __slots__ = ("body", "headers", "keep", "method", "target")
 
-    def __init__(self, method: str, target: bytes, headers: list, body: bytes, keep: bool) -> None:
+    def __init__(
+        self, method: str, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes, keep: bool
+    ) -> None:
         self.method, self.target, self.headers, self.body, self.keep = method, target, headers, body, keep
 
     def get(self, name: bytes) -> str | None:
@@ -39,10 +43,12 @@
         return None
 
     def count(self, name: bytes) -> int:
+        """How often a header is given."""
         return sum(given == name for given, _ in self.headers)
 
     @property
     def path(self) -> str:
+        """The target without its query."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
--- a/sableford/transport/http_client.py
+++ b/sableford/transport/http_client.py
@@ -5,14 +5,16 @@
 """
 
 import asyncio
-from typing import NamedTuple
+from typing import NamedTuple, cast
 
 import httptools
 
+from sableford.transport.errors import CallError, NotSentError, UnansweredError
 from sableford.transport.http import BODILESS
-from sableford.transport.verdict import NotSent, Unanswered
 
-HEAD_MOST = 65_536  # bytes of an answer's head, trailers and answers before the last; a worker's are some 300
+MAX_HEAD_BYTES = (
+    65_536  # bytes of an answer's head, trailers and answers before the last; a worker's are some 300
+)
 IDLE_S = 4.0  # how long a connection rests at a worker that does not say
 IDLE_PART, IDLE_LESS_S = 0.8, 0.3  # of what it says, less some turns of a loaded loop: it may be closing then
 IDLE_SHORT_S = 0.2  # where that leaves nothing: half of the time, or so much
@@ -31,20 +33,21 @@
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
-        self._future: asyncio.Future | None = None
+        self._future: asyncio.Future[Response] | None = None
         self.closed = False
         self.used = 0
         self.idle_since = self._loop.time()
         self.idle_s = IDLE_S
 
-    def connection_made(self, transport: asyncio.Transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, request: bytes) -> asyncio.Future:
-        """A future of a Response; NotSent if nothing was written, Unanswered if no whole answer came."""
+    def ask(self, request: bytes) -> "asyncio.Future[Response]":
+        """A future of a Response; NotSentError if nothing was written, UnansweredError if no whole answer
+        came."""
         self._future = self._loop.create_future()
         if self.closed or self.transport is None or self.transport.is_closing():
-            self._future.set_exception(NotSent("the connection had ended"))
+            self._future.set_exception(NotSentError("the connection had ended"))
             return self._future
         self._parser = httptools.HttpResponseParser(self)
         self._begin()
@@ -56,6 +59,10 @@
     def _waits(self) -> bool:
         return self._future is not None and not self._future.done()
 
+    def _fail(self, problem: CallError) -> None:
+        if self._future is not None and not self._future.done():
+            self._future.set_exception(problem)
+
     # What the transport calls
 
     def data_received(self, data: bytes) -> None:
@@ -69,7 +76,7 @@
             return
         if self._waits() and not self._head_whole:
             self._size += len(data)
-            if self._size > HEAD_MOST:
+            if self._size > MAX_HEAD_BYTES:
                 self._failed("the head of an answer does not end")
 
     def eof_received(self) -> bool:
@@ -81,8 +88,7 @@
 
     def connection_lost(self, problem: Exception | None) -> None:
         self.closed = True
-        if self._waits():
-            self._future.set_exception(Unanswered(f"ended: {problem}" if problem else "ended"))
+        self._fail(UnansweredError(f"ended: {problem}" if problem else "ended"))
 
     # What the parser calls
 
@@ -117,14 +123,18 @@
             return
         if self._parser.get_status_code() < 200:
             return  # the answer is still to come
-        if not self._parser.should_keep_alive() or self.transport.get_write_buffer_size():
+        if not self._parser.should_keep_alive() or self._unsent_bytes():
             self.closed = True  # the worker ends it, or did not want all of the request
         self._done()
 
+    def _unsent_bytes(self) -> int:
+        return self.transport.get_write_buffer_size() if self.transport is not None else 0
+
     def _done(self) -> None:
         self._note_idle_time()
         self.idle_since = self._loop.time()
-        self._future.set_result(Response(self._parser.get_status_code(), self._headers))
+        if self._future is not None:
+            self._future.set_result(Response(self._parser.get_status_code(), self._headers))
 
     def _note_idle_time(self) -> None:
         said = self._headers.get(b"keep-alive", b"").lower()
@@ -135,8 +145,7 @@
     # Ends
 
     def _failed(self, why: str) -> None:
-        if self._waits():
-            self._future.set_exception(Unanswered(why))
+        self._fail(UnansweredError(why))
         self.drop()
 
     def usable(self) -> bool:
@@ -144,7 +153,9 @@
         rest = self._loop.time() - self.idle_since
         least = min(IDLE_SHORT_S, self.idle_s / 2.0)
         most = max(least, self.idle_s * IDLE_PART - IDLE_LESS_S)
-        return not self.closed and not self.transport.is_closing() and not self._waits() and rest < most
+        if self.transport is None or self.transport.is_closing() or self.closed:
+            return False
+        return not self._waits() and rest < most
 
     def drop(self) -> None:
         """At once, whatever is under way."""
--- a/sableford/transport/http_server.py
+++ b/sableford/transport/http_server.py
@@ -9,18 +9,19 @@
 import asyncio
 from collections import deque
 from collections.abc import Awaitable
+from typing import cast
 
 import httptools
 
 from sableford.transport.http import Answer, Bounds, Handler, Request, answer_bytes
 
 SWEEP_S = 0.5  # between two looks for connections that have idled or dawdle
-QUEUED = 16  # requests of one connection read ahead; then it is read no further
-CHUNKED_MOST = 8  # bytes sent for one of the body: more than chunks of one byte each take
+MAX_QUEUED = 16  # requests of one connection read ahead; then it is read no further
+MAX_CHUNK_OVERHEAD = 8  # bytes sent for one of the body: more than chunks of one byte each take
 
 
-class Refused(Exception):
-    """A request that is not read any further."""
+class RequestRefusedError(Exception):
+    """A request that is not read any further; its argument is the status."""
 
 
 class HttpServer:
@@ -33,6 +34,7 @@
         self._sweeper: asyncio.TimerHandle | None = None
 
     async def listen(self, address: tuple[str, int]) -> None:
+        """From now on callers are served."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: ServerConnection(self), *address, backlog=1024)
         self._sweeper = loop.call_later(SWEEP_S, self._sweep)
@@ -46,6 +48,7 @@
             connection.end_if_idle()
 
     def busy(self) -> int:
+        """How many connections owe an answer."""
         return sum(connection.busy() for connection in self.open)
 
     def _sweep(self) -> None:
@@ -59,6 +62,8 @@
 class ServerConnection(asyncio.Protocol):
     """One connection of a caller."""
 
+    transport: asyncio.Transport  # from `connection_made` on
+
     def __init__(self, server: HttpServer) -> None:
         self.server = server
         self._parser = httptools.HttpRequestParser(self)
@@ -66,18 +71,18 @@
         self._waiting: deque[Request] = deque()
         self._waiting_bytes = 0  # of their bodies
         self._begun = 0  # requests that have begun to come
-        self._task: asyncio.Task | None = None  # answers the request whose turn it is
+        self._task: asyncio.Task[None] | None = None  # answers the request whose turn it is
         self._since = self._loop.time()  # nothing under way, or the head begun, since then
         self._reading = False  # a request has begun to come
         self._read_all = False  # no further request is taken from this connection
         self._refusal = 0  # status for what can't be read, once all before it is answered
         self._closed = False
         self._writable = True  # the caller takes what is written
-        self.transport: asyncio.Transport | None = None
         self._begin()
 
     def _begin(self) -> None:
-        self._url, self._head, self._size = b"", [], 0
+        self._url, self._size = b"", 0
+        self._head: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._length = self._came = 0  # of its body; in all, behind the data that it began in
         self._head_whole = False
@@ -85,8 +90,8 @@
 
     # What the transport calls
 
-    def connection_made(self, transport: asyncio.Transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = cast(asyncio.Transport, transport)
         self.server.open.add(self)
 
     def connection_lost(self, problem: Exception | None) -> None:
@@ -132,11 +137,11 @@
         bounds = self.server.bounds
         if not self._head_whole and self._came > bounds.head:
             self._refuse(431)
-        elif self._came > bounds.head + CHUNKED_MOST * bounds.body:
+        elif self._came > bounds.head + MAX_CHUNK_OVERHEAD * bounds.body:
             self._refuse(413)
 
     def _full(self) -> bool:
-        return len(self._waiting) > QUEUED or self._waiting_bytes > self.server.bounds.body
+        return len(self._waiting) > MAX_QUEUED or self._waiting_bytes > self.server.bounds.body
 
     # What the parser calls
 
@@ -161,7 +166,7 @@
 
     def _stop(self, status: int) -> None:
         self._refuse_with = status
-        raise Refused(status)
+        raise RequestRefusedError(status)
 
     def on_headers_complete(self) -> None:
         self._head_whole = True
@@ -258,16 +263,17 @@
     def _close(self) -> None:
         self._closed, self._since = True, self._loop.time()
         self._waiting.clear()
-        if self.transport is not None:
-            self.transport.close()
+        self.transport.close()
 
     # Ends
 
     def busy(self) -> bool:
+        """Whether an answer is owed, or a request is coming."""
         owes = self._task is not None or bool(self._waiting) or bool(self._refusal)
         return not self._closed and (owes or self._reading)
 
     def end_if_idle(self) -> None:
+        """Ends unless an answer is owed."""
         if not self.busy():
             self._close()
 
--- a/sableford/transport/routes.py
+++ b/sableford/transport/routes.py
@@ -4,6 +4,8 @@
 
 
 class Route(NamedTuple):
+    """One route of the configuration; times are ms, but for `retention_s`."""
+
     name: str
     backend: str
     deadline_ms: float
@@ -17,6 +19,10 @@
 
 
 class Backend(NamedTuple):
+    """One service. `endpoint`: its one address, where it is on no list; `rate`: calls a second that it
+    bears, 0
+    for no limit."""
+
     name: str
     idempotent: bool
     conns: int
@@ -61,7 +67,8 @@
         }
 
     def find(self, host: str, path: str) -> Route | None:
-        """
+        """The route with the longest prefix, on the host with its port or without.
+
         >>> rest = {"hostname": "H", "backend": "b", "deadlineMs": 1}
         >>> table = Table(1, {"routes": [rest | {"name": "a", "pathPrefix": "/"},
         ...     rest | {"name": "b", "pathPrefix": "/x/"}]})
@@ -69,7 +76,7 @@
         ('b', 'a', None)
         """
         name = host.lower()
-        routes = self._hosts.get(name) or self._hosts.get(name.rpartition(":")[0] or name, ())
+        routes = self._hosts.get(name) or self._hosts.get(name.rpartition(":")[0] or name) or []
         for prefix, route in routes:
             if path.startswith(prefix):
                 return route
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -5,28 +5,76 @@
 import asyncio
 from types import SimpleNamespace
 
+import msgspec
+import orjson
+
 from sableford.control.view import StoreInfo, View
-from sableford.node.runtime import Runtime
 from sableford.store.choice import Choice
-from sableford.store.delivery_order import SEEK
-from sableford.store.messages import Deliver, Keep, Reply, Seek, State
+from sableford.store.delivery_order import LOOKUP_MS
+from sableford.store.effect_executor import CALL_TIMEOUT_MS, EffectExecutor
+from sableford.store.messages import Deliver, Lookup, Message, RespondToPut, State, WriteMessage
+from sableford.store.protocol import (
+    Confirmation,
+    DeliveryResultRequest,
+    FinalState,
+    LookupResponse,
+    MessageHeader,
+    PutRequest,
+    PutResponse,
+)
 from sableford.store.queue import Queue
-from sableford.store.server import ASK, StoreServer
 from sableford.store.simulation import DOC
-from sableford.transport.frames import Frames, frame
-from sableford.transport.links import UNKNOWN, Link, LinkPool
-from sableford.transport.pending import PendingCalls
+from sableford.transport.errors import NotSentError, UnansweredError
+from sableford.transport.frames import Frame, FrameReader, encode_frame
+from sableford.transport.link import CallResult, Link
+from sableford.transport.link_pool import LinkPool
+from sableford.transport.messages import (
+    UNKNOWN_OPERATION,
+    HelloRequest,
+    HelloResponse,
+    PeerMessage,
+    PeerRequest,
+    PeerResponse,
+)
+from sableford.transport.peer_server import PeerServer
+from sableford.transport.pending_calls import PendingCalls
 from sableford.transport.routes import Table
-from sableford.transport.verdict import CallResult, NotSent, Ran, Unanswered
+from sableford.transport.verdict import Execution
 from tests.memory_network import MemoryTransport, attached, simulated
 
 
+class Answer(PeerResponse, frozen=True):
+    """Any response: `text` says which."""
+
+    text: str = msgspec.field(name="is", default="")
+
+
+class Question(PeerRequest[Answer], frozen=True, tag="ask"):
+    """Any request."""
+
+    response_type = Answer
+
+
+class Numbered(PeerMessage, frozen=True, tag="news"):
+    """Any message that is not answered."""
+
+    number: int = msgspec.field(name="n")
+
+
+ASK = Question()
+
+
+def frame(head: dict, body: bytes = b"") -> bytes:
+    """A frame whose head is given as it stands on the wire."""
+    return encode_frame(orjson.dumps(head), body)
+
+
 def sent_by(transport: MemoryTransport) -> list[dict]:
-    return [head for head, _ in Frames().feed(transport.written)]
+    return [orjson.loads(one.head) for one in FrameReader().feed(transport.written)]
 
 
-def link_of(heard=lambda link, head, raw: None) -> tuple[Link, MemoryTransport]:
-    link = Link(heard)
+def link_of(receive=lambda link, frame: None) -> tuple[Link, MemoryTransport]:
+    link = Link(receive)
     return link, attached(link)
 
 
@@ -34,16 +82,16 @@
     async def scene(loop) -> None:
         link, transport = link_of()
         other, _ = link_of()
-        first, second, elsewhere = link.ask({"op": "a"}), link.ask({"op": "b"}), other.ask({"op": "c"})
+        first, second, elsewhere = link.request(ASK), link.request(ASK), other.request(ASK)
         numbers = [head["q"] for head in sent_by(transport)]
         # The later one is answered first; then one that was never asked; then one of another connection.
         link.data_received(frame({"a": numbers[1], "is": "second"}))
-        assert not first.done() and (await second)[0]["is"] == "second"
+        assert not first.done() and (await second).message.text == "second"
         link.data_received(frame({"a": 10**9, "is": "nobody's"}) + frame({"a": numbers[1], "is": "again"}))
         link.data_received(frame({"a": numbers[1] + 1, "is": "of the other connection"}))
         assert not first.done() and not elsewhere.done() and not link.closed
         link.data_received(frame({"a": numbers[0], "is": "first"}) + frame({"a": numbers[0], "is": "twice"}))
-        assert (await first)[0]["is"] == "first"
+        assert (await first).message.text == "first"
 
     simulated(scene)
 
@@ -53,17 +101,17 @@
 
     async def scene(loop) -> None:
         link, transport = link_of()
-        assert await link.call({"op": "put"}, b"", 700.0) == CallResult(Ran.MAYBE)
+        assert await link.call(ASK, b"", 700.0) == CallResult(Execution.UNKNOWN)
         assert loop.time() == 0.7 and not len(link._pending)  # nothing is kept of a call given up
-        given_up = link.ask({"op": "put"})
+        given_up = link.request(ASK)
         given_up.cancel()
-        link.data_received(frame({"a": sent_by(transport)[1]["q"], "kept": True}))  # in the same turn
+        link.data_received(frame({"a": sent_by(transport)[1]["q"], "is": "late"}))  # in the same turn
         assert not link.closed
-        later = link.ask({"op": "status"})
-        link.data_received(frame({"a": sent_by(transport)[0]["q"], "kept": True}))
+        later = link.request(ASK)
+        link.data_received(frame({"a": sent_by(transport)[0]["q"], "is": "late"}))
         assert not later.done()
-        link.data_received(frame({"a": sent_by(transport)[2]["q"], "state": None}))
-        assert (await later)[0]["state"] is None
+        link.data_received(frame({"a": sent_by(transport)[2]["q"], "is": "own"}))
+        assert (await later).message.text == "own"
 
     simulated(scene)
 
@@ -71,13 +119,15 @@
 def shows_a_call_says_whether_it_was_ever_handed_to_its_connection() -> None:
     async def scene(loop) -> None:
         link, transport = link_of()
-        waits = link.ask({"op": "put"})
+        waits = link.request(ASK)
         transport.waiting = 10**8  # the other side reads nothing: no more is handed on, and the link ends
-        assert await link.call({"op": "put"}, b"x", 700.0) == CallResult(Ran.NOT_RUN)
+        assert await link.call(ASK, b"x", 700.0) == CallResult(Execution.NOT_RUN)
         assert len(sent_by(transport)) == 1
-        assert isinstance(waits.exception(), Unanswered) and waits.exception().ran is Ran.MAYBE
-        after = link.ask({"op": "put"})
-        assert isinstance(after.exception(), NotSent) and after.exception().ran is Ran.NOT_RUN
+        assert isinstance(waits.exception(), UnansweredError)
+        assert waits.exception().execution is Execution.UNKNOWN
+        after = link.request(ASK)
+        assert isinstance(after.exception(), NotSentError)
+        assert after.exception().execution is Execution.NOT_RUN
 
     simulated(scene)
 
@@ -94,11 +144,11 @@
     async def scene(loop) -> None:
         for text in bad:
             link, transport = link_of()
-            waits = link.ask({"op": "put"})
+            waits = link.request(ASK)
             untouched, _ = link_of()
             link.data_received(text)
             assert link.closed and transport.closing and not untouched.closed, text
-            assert isinstance(waits.exception(), Unanswered), text  # not a success, whatever it named
+            assert isinstance(waits.exception(), UnansweredError), text  # not a success, whatever it named
             assert loop.problems.pop()["exception"], text  # and it is said
 
     simulated(scene)
@@ -108,9 +158,9 @@
     """News that can't be applied must not be followed by news that builds on it."""
     heard = []
 
-    def take(link, head, raw) -> None:
-        heard.append(head["n"])
-        if head["n"] == 2:
+    def take(link: Link, frame: Frame) -> None:
+        heard.append(msgspec.json.decode(frame.head, type=Numbered).number)
+        if heard[-1] == 2:
             raise KeyError("view")
 
     async def scene(loop) -> None:
@@ -119,7 +169,7 @@
         assert heard == [1, 2] and link.closed
         assert isinstance(loop.problems.pop()["exception"], KeyError)
         heard.clear()
-        link, _ = link_of(lambda link, head, raw: heard.append(head["n"]) or link.drop())
+        link, _ = link_of(lambda link, frame: take(link, frame) or link.drop())
         link.data_received(frame({"op": "news", "n": 1}) + frame({"op": "news", "n": 3}))
         assert heard == [1]  # it has found a gap itself
 
@@ -131,15 +181,17 @@
 
     async def scene(loop) -> None:
         link, transport = link_of()
-        server = SimpleNamespace(links=SimpleNamespace(link=lambda name: link), loop=loop)
-        server.queue = SimpleNamespace(life=lambda name: "b1")
-        got: list[dict | None] = []
-        for answer in ({"no": UNKNOWN}, {"yes": True}, None):
-            StoreServer._ask(server, "a", {"op": "late"}, got.append)
+        queue = SimpleNamespace(state=SimpleNamespace(incarnation_of=lambda name: "b1"))
+        links = SimpleNamespace(link=lambda name: link)
+        executor = EffectExecutor(queue, None, None, None, links, None, None, None)
+        result = DeliveryResultRequest("00-a", 0, "done", "", "seal", True)
+        got: list[Confirmation | None] = []
+        for answer in ({"no": UNKNOWN_OPERATION}, {"yes": True}, None):
+            executor._call("a", result, got.append)
             if answer is not None:
                 link.data_received(frame(answer | {"a": sent_by(transport)[-1]["q"]}))
-        await asyncio.sleep(ASK / 1000.0 + 0.001)
-        assert got[0] is None and got[1]["yes"] and got[2] is None
+        await asyncio.sleep(CALL_TIMEOUT_MS / 1000.0 + 0.001)
+        assert got[0] is None and got[1].accepted and got[2] is None
 
     simulated(scene)
 
@@ -147,12 +199,12 @@
 class Store(Link):
     """The accepting side of a dial: a process with a name and a life."""
 
-    def __init__(self, name: str, birth: str) -> None:
-        super().__init__(self._said)
-        self.says = {"name": name, "birth": birth}
+    def __init__(self, name: str, incarnation: str) -> None:
+        super().__init__(self._answer)
+        self._says = HelloResponse(incarnation, name)
 
-    def _said(self, link: Link, head: dict, raw: bytes) -> None:
-        self.answer(head, self.says)
+    def _answer(self, link: Link, frame: Frame) -> None:
+        self.send_response(frame.envelope.call_number, self._says)
 
 
 def shows_a_link_is_held_only_to_the_process_that_was_dialled() -> None:
@@ -160,24 +212,24 @@
 
     async def scene(loop) -> None:
         told: list[tuple] = []
-        pool = LinkPool({"op": "hello", "name": "me", "birth": "m"}, 7, lambda link, head, raw: None)
-        pool.up.append(lambda name, link: told.append((name, link.birth)))
-        pool.refused.append(lambda name: told.append((name, "refused")))
+        pool = LinkPool(HelloRequest("me", "m"), 7, lambda link, frame: None)
+        pool.on_up.append(lambda name, link: told.append((name, link.incarnation)))
+        pool.on_refused.append(lambda name: told.append((name, "refused")))
         loop.listeners[("a", 7)] = lambda: Store("a", "a1")
         loop.listeners[("b", 7)] = lambda: Store("elsewhere", "b1")
         loop.listeners[("c", 7)] = lambda: Store("c", "")
-        pool.want({"a", "b", "c", "d"})
+        pool.set_peers({"a", "b", "c", "d"})
         await asyncio.sleep(0.05)
         assert sorted(told) == [("a", "a1"), ("d", "refused")]
         assert [name for name in "abcd" if pool.link(name)] == ["a"]
         # Another life at the same address is another link: nothing asked of the first is answered by it.
-        waits = pool.link("a").ask({"op": "put"})
+        waits = pool.link("a").request(ASK)
         loop.listeners[("a", 7)] = lambda: Store("a", "a2")
         pool.link("a").drop()
         await asyncio.sleep(0.01)
-        assert isinstance(waits.exception(), Unanswered) and pool.link("a").birth == "a2"
+        assert isinstance(waits.exception(), UnansweredError) and pool.link("a").incarnation == "a2"
         one, _ = link_of()
-        assert one.introduce("a", "a1") and one.introduce("a", "a1") and not one.introduce("a", "a2")
+        assert one.identify("a", "a1") and one.identify("a", "a1") and not one.identify("a", "a2")
         pool._timer.cancel()
 
     simulated(scene)
@@ -187,16 +239,14 @@
     """The planted mistake: the oldest call of the connection takes whatever answer comes."""
 
     class InTurn(PendingCalls):
-        def resolve(self, number, answer):
-            return super().resolve(next(iter(self._futures), 0), answer)
+        def resolve(self, number, frame):
+            return super().resolve(next(iter(self._calls), 0), frame)
 
     class Forgetful(PendingCalls):
         """A late answer goes to the call that took its place."""
 
-        def resolve(self, number, answer):
-            return super().resolve(
-                number if number in self._futures else max(self._futures, default=0), answer
-            )
+        def resolve(self, number, frame):
+            return super().resolve(number if number in self._calls else max(self._calls, default=0), frame)
 
     for mistake, shows in (
         (InTurn, shows_an_answer_meets_only_the_call_that_it_names),
@@ -206,7 +256,7 @@
 
 
 def planted(mistake: type, shows) -> None:
-    import sableford.transport.links as module
+    import sableford.transport.link as module
 
     whole = module.PendingCalls
     module.PendingCalls = mistake
@@ -223,33 +273,28 @@
     """A connection that does not say whose it is gets no answer; nor does one that changes its name."""
 
     async def scene(loop) -> None:
-        said, ops = [], []
-        runtime = SimpleNamespace(
-            accepted=set(), log=SimpleNamespace(say=lambda event, **facts: said.append(event))
-        )
-        runtime.me, runtime.birth = "me", "m1"
-        runtime.ops = {
-            "hello": lambda *message: Runtime._hello(runtime, *message),
-            "join": lambda link, head, raw: ops.append(link.peer),
-        }
+        said, asked = [], []
+        log = SimpleNamespace(event=lambda name, /, **fields: said.append(name))
+        server = PeerServer("me", "m1", log)
+        server.handle(Question, lambda incoming: asked.append(incoming.sender))
 
         def accepted() -> tuple[Link, MemoryTransport]:
-            link, transport = link_of(lambda *message: Runtime.heard(runtime, *message))
-            runtime.accepted.add(link)
-            return link, transport
+            link = server.accept()
+            return link, attached(link)
 
         hello, join = (
             frame({"op": "hello", "name": "a", "birth": "a1", "q": 1}),
-            frame({"op": "join", "q": 2}),
+            frame({"op": "ask", "q": 2}),
         )
         link, transport = accepted()
         link.data_received(join + hello + join)
-        assert link.closed and not transport.written and not ops and said == ["hello_missing"]
+        assert link.closed and not transport.written and not asked and said == ["hello_missing"]
         link, transport = accepted()
         link.data_received(hello + join)
-        assert sent_by(transport) == [{"a": 1, "birth": "m1", "name": "me", "v": 1}] and ops == ["a"]
+        assert sent_by(transport) == [{"a": 1, "birth": "m1", "name": "me", "v": 1}]
+        assert asked == ["a"]
         link.data_received(frame({"op": "hello", "name": "b", "birth": "a1", "q": 3}) + join)
-        assert link.closed and len(sent_by(transport)) == 1 and ops == ["a"]
+        assert link.closed and len(sent_by(transport)) == 1 and asked == ["a"]
         link, transport = accepted()
         link.data_received(frame({"op": "hello", "name": "a", "birth": 7, "q": 1}))
         assert link.closed and not transport.written and loop.problems.pop()
@@ -259,53 +304,82 @@
 
 def shows_a_delivery_begins_only_while_its_store_may_begin_it() -> None:
     """Between the decision and the first byte its bytes are read and its worker is dialled."""
-    message = SimpleNamespace(state=State.OUT, shard=0)
-    queue = SimpleNamespace(owned={0: (1, 1)}, lease=1000.0, held={"r": message})
-    queue.choice = SimpleNamespace(workers={"w": None})
-    queue.holds = lambda now: Queue.holds(queue, now)
-    queue.may_send = lambda *given: Queue.may_send(queue, *given)
-    server = SimpleNamespace(queue=queue, runtime=SimpleNamespace(now=lambda: 999.0))
-    may = lambda worker="w": StoreServer._may_send(server, Deliver("r", worker, 2000.0))  # noqa: E731
+    queue = Queue("me", "m", 0, Table(1, DOC), Choice("z", "me"), 600.0, True)
+    state = queue.state
+    message = Message(HEADER, b"x", 0.0, 0.0)
+    message.state = State.IN_FLIGHT
+    queue.choice.workers["w"] = None
+    state.messages, state.owned, state.lease = {message.ref: message}, {0: (1, 1)}, 1000.0
+    clock = SimpleNamespace(now=lambda: 999.0)
+    executor = SimpleNamespace(_queue=queue, _now=lambda: clock.now())
+
+    def may(worker: str = "w") -> bool:
+        return EffectExecutor.may_send(executor, Deliver(message.ref, worker, 2000.0))
+
     assert may() and not may("gone")
-    server.runtime.now = lambda: 1000.0  # its lease is over
+    clock.now = lambda: 1000.0  # its lease is over
     assert not may()
-    server.runtime.now, queue.owned = lambda: 999.0, {}  # another's by now
+    clock.now, state.owned = lambda: 999.0, {}  # another's by now
     assert not may()
-    queue.owned, message.state = {0: (1, 1)}, State.ENDING
+    state.owned, message.state = {0: (1, 1)}, State.ENDING
     assert not may()
-    message.state, queue.held = State.OUT, {}  # it has ended meanwhile
+    message.state, state.messages = State.IN_FLIGHT, {}  # it has ended meanwhile
     assert not may()
 
 
 # A put that may have come before
 
 
-PUT = {"ref": "00-9c41", "shard": 0, "key": "", "id": "9c41", "host": "h", "target": "/b/1", "method": "POST"}
-PUT |= {"delay": 0.0, "age": 0.0, "revision": 1, "again": True}
-
-
-def put_again(answers: dict[str, dict | None], live: str = "ab") -> list[str]:
+PUT = PutRequest(
+    ref="00-9c41",
+    shard=0,
+    key="",
+    id="9c41",
+    host="h",
+    target="/b/1",
+    method="POST",
+    delay_ms=0.0,
+    age_ms=0.0,
+    revision=1,
+    is_retry=True,
+)
+
+
+HEADER = MessageHeader(
+    ref="00-9c41",
+    shard=0,
+    key="",
+    id="9c41",
+    host="h",
+    target="/b/1",
+    method="POST",
+    revision=1,
+    position=((1, 1), 1),
+)
+
+
+def put_again(answers: dict[str, LookupResponse | None], live: str = "ab") -> list[PutResponse | str]:
     """What a store does on it, by what its others `a` and `b` answer; who is not named says nothing."""
     queue = Queue("me", "m", 1, Table(1, DOC), Choice("z", "me"), 600.0, True)
     stores = ["me", *live]
-    queue.view = View(
+    queue.state.view = View(
         (1, 1), live_stores={name: StoreInfo(name, "z") for name in stores}, roster=["a", "b", "me"]
     )
-    queue.owned, queue.lease = {0: (1, 1)}, 1e9
+    queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
     effects = [*queue.put(0.0, PUT, b"x", "edge")]
-    assert sorted(one.to for one in effects if isinstance(one, Seek)) == sorted(live)
-    for name, word in answers.items():
-        effects += queue.sought(1.0, name, PUT["ref"], word)
-    effects += queue.tick(SEEK + 1.0, 0.0)
-    replies = [str(one.word) for one in effects if isinstance(one, Reply)]
-    return [*replies, *("taken" for one in effects if isinstance(one, Keep) and one.what == "m")]
+    assert sorted(one.to for one in effects if isinstance(one, Lookup)) == sorted(live)
+    for name, response in answers.items():
+        effects += queue.lookup_answered(1.0, name, PUT.ref, response)
+    effects += queue.tick(LOOKUP_MS + 1.0, 0.0)
+    replies = [one.response for one in effects if isinstance(one, RespondToPut)]
+    return [*replies, *("taken" for one in effects if isinstance(one, WriteMessage))]
 
 
 def shows_a_put_that_may_have_come_before_is_not_taken_anew_on_a_silence() -> None:
     """Its first try was taken, run and ended by an owner that is gone; who else knows the end says nothing.
     Of three stores one may be lost: two that answer are enough, this one among them."""
-    no, ended = {"end": None, "held": False}, {"end": ["complete", "s", "", 0.0], "held": False}
-    unclear, kept = str({"no": "owner", "may": True}), str({"kept": True})
+    no, ended = LookupResponse(), LookupResponse(FinalState("complete", "s", "", 0.0))
+    unclear, kept = PutResponse(refusal="owner", maybe_kept=True), PutResponse(kept=True)
     assert put_again({"a": no, "b": no}) == ["taken"]
     assert put_again({"a": no}) == put_again({"a": no, "b": None}) == ["taken"]
     assert put_again({"b": ended}) == put_again({"a": None, "b": ended}) == [kept]
--- a/tests/control_incidents.py
+++ b/tests/control_incidents.py
@@ -10,7 +10,6 @@
 
 import orjson
 
-from sableford.control.coordinator import FRESH
 from sableford.control.order_process import OrderProcess, ProposalOutcome, Respond
 from sableford.control.orders import State
 from sableford.control.service import ControlService
@@ -18,6 +17,7 @@
 from sableford.control.simulation.judges import Order
 from sableford.control.simulation.operators import canonical, document
 from sableford.control.simulation.walk import ControlSimulation, Shape
+from sableford.control.timing import QUORUM_FRESH_MS
 from sableford.transport.http import Answer
 
 CUT_S = 20.0
@@ -132,7 +132,7 @@
             beat |= {"phase": "ready", "callCount": int(asked)}
             body = orjson.dumps(beat)
             said = await self.incident.call(self.cut, "POST", "/v1/instances/w/heartbeat", body)
-            assert said.status != 200 or asked < 1.5 * FRESH, "it acknowledges a worker's call"
+            assert said.status != 200 or asked < 1.5 * QUORUM_FRESH_MS, "it acknowledges a worker's call"
             await asyncio.sleep(0.1)
 
     async def changes(self, rest: list[Machine]) -> None:
@@ -156,7 +156,7 @@
         read = await incident.call(store, "GET", "/v1/config/read")
         if read.status == 200:
             assert orjson.loads(read.body)["revision"] == incident.revision
-    assert all(one.program.member.config["revision"] == incident.revision for one in stores)
+    assert all(one.program.member.config.revision == incident.revision for one in stores)
 
 
 def shows_a_control_machine_cut_off_for_twenty_seconds_serves_and_confirms_nothing() -> None:
@@ -192,7 +192,7 @@
 
 async def _four_operators_under_one_number(incident: Incident) -> None:
     cluster, stores = incident.cluster, incident.cluster.stores()
-    record = cluster.leader().program.control._record
+    record = cluster.leader().program.control.record
     before = record.machine.last
     for _ in range(8):
         base = incident.revision
--- a/tests/control_member.py
+++ b/tests/control_member.py
@@ -2,12 +2,13 @@
 
 import asyncio
 
-import msgspec
-
-from sableford.control.coordinator import LEASE
 from sableford.control.member_client import MemberClient
+from sableford.control.protocol import JoinResponse, MemberStatus, Update
+from sableford.control.timing import LEASE_MS
 from sableford.control.view import SHARDS, View
-from sableford.transport.links import Broken
+from sableford.transport.errors import UnansweredError
+from sableford.transport.link import Response
+from sableford.transport.messages import PeerMessage, PeerRequest
 
 ME, LEADER = "10.0.0.1", "10.0.0.2"
 
@@ -15,29 +16,30 @@
 class Silence:
     """A log that says nothing."""
 
-    def say(self, event, **fields): ...
+    def event(self, name, /, **fields): ...
 
 
 class LeaderLink:
-    """The link to a leader of a term: it answers joins and renewals, and sends news when the test says so."""
+    """The link to a leader of a term: it answers joins and renewals, and sends updates when the test says
+    so."""
 
     closed = False
 
     def __init__(self, term: int) -> None:
         self.term, self.cut = term, False
-        self.sent: list[dict] = []
-        self.asked: list[dict] = []
+        self.sent: list[PeerMessage] = []
+        self.asked: list[PeerRequest] = []
 
-    def ask(self, message: dict) -> asyncio.Future:
+    def request(self, message: PeerRequest) -> asyncio.Future:
         self.asked.append(message)
         future = asyncio.get_running_loop().create_future()
         if self.cut:
-            future.set_exception(Broken(LEADER))
+            future.set_exception(UnansweredError(LEADER))
         else:
-            future.set_result(({"ok": True, "term": self.term}, b""))
+            future.set_result(Response(JoinResponse(True, self.term)))
         return future
 
-    def send(self, message: dict) -> bool:
+    def send(self, message: PeerMessage) -> bool:
         self.sent.append(message)
         return True
 
@@ -48,23 +50,20 @@
     def __init__(self, link: LeaderLink) -> None:
         self.link = link
 
-    def want(self, names: set[str]) -> None: ...
+    def set_peers(self, names: set[str]) -> None: ...
 
     def names(self) -> list[str]:
         return [LEADER]
 
-    def near(self, name: str) -> LeaderLink:
+    def responsive_link(self, name: str) -> LeaderLink:
         return self.link
 
 
-def view(count: int, owner: str, term: int = 3) -> dict:
-    owned = View((term, count), [owner] * SHARDS, [f"{owner}.1"] * SHARDS)
-    return msgspec.to_builtins(owned)
+STATUS = MemberStatus(incarnation="b", role="edge", zone="z", node="n")
 
 
-def snapshot(term: int, number: int, shown: dict | None) -> dict:
-    message = {"op": "news", "term": term, "n": number, "whole": True}
-    return message | ({"view": shown} if shown is not None else {})
+def view(count: int, owner: str, term: int = 3) -> View:
+    return View((term, count), [owner] * SHARDS, [f"{owner}.1"] * SHARDS)
 
 
 class Scene:
@@ -74,15 +73,16 @@
         self.clock = 1000.0
         self.link = LeaderLink(term=3)
         self.pool = OneLink(self.link)
-        self.member = MemberClient(self.pool, ME, lambda: {"birth": "b"}, lambda: [LEADER], Silence())
+        self.member = MemberClient(self.pool, ME, lambda: STATUS, lambda: [LEADER], Silence())
         self.member.now = lambda: self.clock
 
     async def join(self, term: int = 3) -> None:
         self.pool.link = self.link = LeaderLink(term)
-        await self.member._find()
+        await self.member.find_leader()
 
-    def hear(self, term: int, number: int, shown: dict | None) -> None:
-        self.member.news(self.link, snapshot(term, number, shown))
+    def hear(self, term: int, number: int, shown: View | None) -> None:
+        update = Update(term=term, number=number, snapshot=True, view=shown)
+        self.member.apply_update(self.link, update)
 
 
 def shows_a_member_that_was_cut_off_acts_on_no_old_view_when_it_joins_again() -> None:
@@ -90,12 +90,12 @@
         scene = Scene()
         await scene.join()
         scene.hear(3, 1, view(1, ME))
-        assert scene.member.valid()
+        assert scene.member.holds_lease()
         scene.clock += 20_000.0  # cut off; its shards are another's by now
         await scene.join()
-        assert not scene.member.valid(), "its lease runs and it still takes the shards for its own"
+        assert not scene.member.holds_lease(), "its lease runs and it still takes the shards for its own"
         scene.hear(3, 9, view(2, LEADER))
-        assert scene.member.valid() and scene.member.view.number == (3, 2)
+        assert scene.member.holds_lease() and scene.member.view.number == (3, 2)
 
     asyncio.run(play())
 
@@ -108,9 +108,9 @@
         scene.clock += 20_000.0
         await scene.join(term=5)  # it has just won, and gathers views before it tells any
         scene.hear(5, 0, None)
-        assert not scene.member.valid()
+        assert not scene.member.holds_lease()
         scene.hear(5, 1, view(1, LEADER, term=5))
-        assert scene.member.valid()
+        assert scene.member.holds_lease()
 
     asyncio.run(play())
 
@@ -123,7 +123,7 @@
         scene.clock += 20_000.0
         await scene.join(term=5)
         scene.hear(3, 2, view(2, ME))  # was on its way for long
-        assert not scene.member.valid()
+        assert not scene.member.holds_lease()
 
     asyncio.run(play())
 
@@ -133,9 +133,9 @@
         scene = Scene()
         await scene.join()
         scene.hear(3, 1, view(1, ME))
-        scene.clock += LEASE / 2
+        scene.clock += LEASE_MS / 2
         await scene.join(term=4)  # nobody can have been given its shards: messages go on meanwhile
-        scene.clock += LEASE * 0.75
-        assert scene.member.valid()
+        scene.clock += LEASE_MS * 0.75
+        assert scene.member.holds_lease()
 
     asyncio.run(play())
--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -3,24 +3,25 @@
 import asyncio
 from collections import Counter
 from collections.abc import Callable, Iterable
-from types import SimpleNamespace
 
 import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sableford.control.coordinator import Coordinator, Strike
+from sableford.control.coordinator import Coordinator
 from sableford.control.departures import Departures
+from sableford.control.effects import RemoveStore
 from sableford.control.membership_model import SimulatedStore
 from sableford.control.membership_simulation import MembershipSimulation, Wrong
 from sableford.control.presence import KEEPS_SEAT, Presence, PresenceTracker, patience_ms
-from sableford.control.retirement import Phase, RetirementRefused, begin_retirement, phase_of
+from sableford.control.protocol import JoinRequest, RenewRequest
+from sableford.control.retirement import Phase, RetirementRefusedError, begin_retirement, phase_of
 from sableford.control.roster import Roster
 from sableford.control.service import ControlService
-from sableford.control.view import SHARDS, StoreInfo
+from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.control.voter_selection import Candidate, Tolerance, seats_needed, select_voters
-from sableford.transport.http import Answer
-from tests.control_service import Peer, core, run_core
+from sableford.transport.http import Answer, Request
+from tests.control_service import core, joins, run_core
 from tests.record_growth import Group
 
 S, U, A, L, R, G = (
@@ -65,7 +66,7 @@
         ("abc", stores("a b c", S, S, R), 0, "ab"),  # more than are needed
         ("abc", stores("a b c d e", S, S, S), 2, "abcde"),
         ("ab", stores("a b"), 1, "ab"),  # fewer stores than seats
-        ("abc", [*stores("a b c d", S, S, G), Candidate("e", whole=True)], 1, "abd"),
+        ("abc", [*stores("a b c d", S, S, G), Candidate("e", complete=True)], 1, "abd"),
     ):
         found = "".join(select_voters(voters, there, Tolerance(losses)).voters)
         assert found == wanted, (voters, there, found, wanted)
@@ -201,18 +202,18 @@
         try:
             assert begin_retirement(roster, node, hosts, there, tolerance).retiring.get(node)
             found = 200
-        except RetirementRefused as refused:
+        except RetirementRefusedError as refused:
             found = refused.status
         assert found == status, (node, there, found)
 
 
 def shows_a_store_that_leaves_is_done_without_as_soon_as_its_copies_are_elsewhere() -> None:
     coordinator = Coordinator(1200.0, 1760.0)
-    coordinator.lead(0.0, 1)
-    coordinator.enrol(0.0, ["a", "b", "c"])
+    coordinator.become_leader(0.0, 1)
+    coordinator.roster_changed(0.0, ["a", "b", "c"])
     for name in "abc":
-        said = {"role": "store", "zone": "z", "node": name, "birth": name}
-        coordinator.joined(0.0, name, said)
+        request = JoinRequest(incarnation=name, role="store", zone="z", node=name, view=View())
+        coordinator.joined(0.0, name, request)
     now = 0.0
 
     def step(ms: float, leaving: bool, names: str) -> list:
@@ -220,19 +221,28 @@
         now += ms
         told = []
         for name in names:
-            coordinator.renewed(now, name, {"birth": name, "leaving": leaving and name == "c"})
+            request = RenewRequest(
+                incarnation=name,
+                role="store",
+                zone="z",
+                node=name,
+                leaving=leaving and name == "c",
+                update_number=0,
+                term=1,
+            )
+            coordinator.renewed(now, name, request)
             coordinator.members[name].safe = coordinator.view.number
-            told += coordinator.acked(now, name, name, coordinator.number)
-        return [one for one in told + coordinator.tick(now) if isinstance(one, Strike)]
+            told += coordinator.acknowledged(now, name, name, coordinator.update_number)
+        return [one for one in told + coordinator.tick(now) if isinstance(one, RemoveStore)]
 
     for _ in range(20):
         assert not step(100.0, True, "abc")  # it is there still
     assert coordinator.view.live_stores["c"].leaving and not [
         one for one in coordinator.view.owners if one == "c"
     ]
-    coordinator.over(now, "c")
+    coordinator.process_ended(now, "c")
     assert coordinator.view.owners == ["a", "b"] * (SHARDS // 2) or set(coordinator.view.owners) == {"a", "b"}
-    assert step(100.0, False, "ab") == [Strike("c")]
+    assert step(100.0, False, "ab") == [RemoveStore("c")]
 
 
 # The control service's part
@@ -241,8 +251,7 @@
 async def joined(control: ControlService, clock: list[float], names: list[str]) -> None:
     assert await run_core(control, clock, lambda: control.leads)
     for name in names:
-        said = {"role": "store", "zone": "z", "node": f"node-{name}", "birth": f"{name}.1", "least": 0}
-        control.join(Peer(name), said)
+        joins(control, name, node=f"node-{name}")
     assert await run_core(control, clock, lambda: list(control.roster.stores) == names, 500.0)
     assert await run_core(
         control, clock, lambda: set(control.coordinator.view.live_stores) == {*names}, 500.0
@@ -253,9 +262,8 @@
     async def scene() -> list[Answer]:
         control, clock = core(1)
         await joined(control, clock, ["s00", "s01", "s02", "s03"])
-        calls = [
-            asyncio.ensure_future(control._retire(SimpleNamespace(), f"node-s0{at}")) for at in (1, 2, 1)
-        ]
+        requests = [Request("POST", b"/v1/retire/node-s0%d/start" % at, [], b"", True) for at in (1, 2, 1)]
+        calls = [asyncio.ensure_future(control.handle(request)) for request in requests]
         assert await run_core(control, clock, lambda: all(call.done() for call in calls), 500.0)
         assert list(control.roster.retiring) == ["node-s01"]
         return [call.result() for call in calls]
@@ -268,10 +276,9 @@
     async def scene() -> None:
         control, clock = core()
         assert await run_core(control, clock, lambda: control.leads)
-        control._record.wanted = ("s09",)  # as it was when it led before
-        control._led = False
-        control._select_voters(clock[0])
-        assert control._record.wanted == ("s00",)
+        control.record.wanted = ("s09",)  # as it was when it led before
+        control._voter_manager.update(clock[0], leads=False)
+        assert control.record.wanted == ("s00",)
 
     asyncio.run(scene())
 
@@ -312,7 +319,7 @@
         stores = self.candidates(self.roster.stores)
         try:
             begin_retirement(self.roster, node, self.hosts(), stores, self.tolerance)
-        except RetirementRefused:
+        except RetirementRefusedError:
             return lambda: self.roster
         host = self.hosts()[node]
         return lambda: self.roster.with_retiring(node, host)
@@ -345,7 +352,7 @@
     """A store is reported as emptied though it votes."""
 
     def may_strike(self, name: str) -> bool:
-        return not self.coordinator.needless(name)
+        return not self.coordinator.has_returned(name)
 
 
 PLANTED = (
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -16,8 +16,10 @@
 
 from msgspec.structs import replace
 
-from sableford.control import order_process, orders, service
+from sableford.control import configuration_keeper, order_process, orders, roster_manager
 from sableford.control.member_client import MemberClient
+from sableford.control.protocol import Update
+from sableford.control.record_driver import OfferResult, RecordDriver
 from sableford.control.requests import ConfigurationOrder
 from sableford.control.service import ControlService
 from sableford.control.simulation.judges import Finding
@@ -29,8 +31,10 @@
 from sableford.fleet.record.machine import Machine
 from sableford.fleet.record.state import Learner
 from sableford.fleet.record.words import Append, Appended
-from sableford.transport.links import Link
-from sableford.transport.pending import PendingCalls
+from sableford.transport.frames import Frame
+from sableford.transport.link import Link
+from sableford.transport.messages import PeerRequest
+from sableford.transport.pending_calls import PendingCalls
 
 
 def replaced(owner: Any, name: str, make: Callable[[Callable], Callable]) -> Any:
@@ -42,8 +46,8 @@
 
 
 def reads_without_majority(original: Callable) -> Callable:
-    async def offer(self: ControlService, data: bytes | None, *given: Any) -> Any:
-        return (True, 0, "") if data is None else await original(self, data, *given)
+    async def offer(self: RecordDriver, data: bytes | None, *given: Any) -> Any:
+        return OfferResult(True, 0, "") if data is None else await original(self, data, *given)
 
     return offer
 
@@ -58,11 +62,11 @@
 
 
 def acknowledged_before_agreed(original: Callable) -> Callable:
-    async def offer(self: ControlService, data: bytes | None, *given: Any) -> Any:
+    async def offer(self: RecordDriver, data: bytes | None, *given: Any) -> Any:
         if data is None:
             return await original(self, data, *given)
         self._loop.create_task(original(self, data, *given))
-        return True, 0, ""
+        return OfferResult(True, 0, "")
 
     return offer
 
@@ -106,10 +110,10 @@
 def late_beat_taken(original: Callable) -> Callable:
     """Neither the count of a worker's calls nor what it said of its end is looked at."""
 
-    def put(self: WorkerTable, now: float, line: Worker) -> Worker | None:
-        self._departed.pop(line.id, None)
-        self.lines.pop(line.id, None)
-        return original(self, now, line)
+    def put(self: WorkerTable, now: float, entry: Worker) -> Worker | None:
+        self._departed.pop(entry.id, None)
+        self.entries.pop(entry.id, None)
+        return original(self, now, entry)
 
     return put
 
@@ -117,12 +121,12 @@
 def news_of_old_term_taken(original: Callable) -> Callable:
     """Neither the term nor the revision of what is told is looked at."""
 
-    def news(self: MemberClient, link: Link, word: dict) -> None:
-        if word["term"] < self.term:
-            self.term, self.number, self.config = word["term"], word.get("prev", 0), None
-        original(self, link, word)
+    def apply_update(self: MemberClient, link: Link, update: Update) -> None:
+        if update.term < self.term:
+            self.term, self.update_number, self.config = update.term, update.previous or 0, None
+        original(self, link, update)
 
-    return news
+    return apply_update
 
 
 # The record
@@ -202,20 +206,20 @@
 def next_answer_taken(original: Callable) -> Callable:
     """An answer is the oldest waiting call's."""
 
-    def resolve(self: PendingCalls, number: int, answer: Any) -> bool:
-        return original(self, next(iter(self._futures), number), answer)
+    def resolve(self: PendingCalls, number: int, frame: Frame) -> bool:
+        return original(self, next(iter(self._calls), number), frame)
 
     return resolve
 
 
 def asked_again_after_silence(original: Callable) -> Callable:
-    def ask(self: Link, head: dict, raw: bytes = b"") -> asyncio.Future:
-        future = original(self, head, raw)
-        again = self._loop.call_later(0.1, lambda: None if future.done() else self.send(head, raw))
+    def request(self: Link, message: PeerRequest, body: bytes = b"") -> asyncio.Future:
+        future = original(self, message, body)
+        again = self._loop.call_later(0.1, lambda: None if future.done() else self.send(message, body))
         future.add_done_callback(lambda done: again.cancel())
         return future
 
-    return ask
+    return request
 
 
 class Mistake(NamedTuple):
@@ -248,26 +252,31 @@
 
 MISTAKES = {
     "reads are served without asking a majority": Mistake(
-        ControlService, "_offer", reads_without_majority, LOST, LEADERS, also=(LEADS, STEPS_DOWN)
+        RecordDriver, "offer", reads_without_majority, LOST, LEADERS, also=(LEADS, STEPS_DOWN)
     ),
     "orders are acknowledged before they are agreed on": Mistake(
-        ControlService, "_offer", acknowledged_before_agreed, LOST, CROWD
+        RecordDriver, "offer", acknowledged_before_agreed, LOST, CROWD
     ),
     "an order's base is not compared": Mistake(order_process, "decide", base_not_compared, LOST | REPEATS),
     "an order is put without compare-and-set": Mistake(
-        service, "put", put_without_compare, LOST | REPEATS, RACES
+        configuration_keeper,
+        "put",
+        put_without_compare,
+        LOST | REPEATS,
+        RACES,
+        also=((roster_manager, "put", put_without_compare),),
     ),
     "the mark of an order is not kept": Mistake(orders.State, "revision_of", mark_not_kept, REPEATS),
     "draining is acknowledged without waiting": Mistake(
         ControlService, "applied", news_not_waited_for, {"drain"}, LEAVING
     ),
     "a member's lease is not checked": Mistake(
-        MemberClient, "valid", lease_not_checked, {"stale member", "drain"}, FROZEN
+        MemberClient, "holds_lease", lease_not_checked, {"stale member", "drain"}, FROZEN
     ),
     "a leader is not fenced": Mistake(Record, "fresh", leader_not_fenced, {"stale member", "drain"}, LEAVING),
     "late heartbeats are taken": Mistake(WorkerTable, "put", late_beat_taken, {"drain"}, LEAVING),
     "news of an older term is taken": Mistake(
-        MemberClient, "news", news_of_old_term_taken, {"stale member", "went back", "drain"}, LEADERS
+        MemberClient, "apply_update", news_of_old_term_taken, {"stale member", "went back", "drain"}, LEADERS
     ),
     "entries of an older term are taken": Mistake(
         Record, "heard", term_not_compared, LOST | {"unforeseen"}, LEADERS
@@ -294,7 +303,7 @@
     "an answer is given to the next call that waits": Mistake(
         PendingCalls, "resolve", next_answer_taken, {"wrong answer", "unforeseen"}
     ),
-    "a call is sent again after silence": Mistake(Link, "ask", asked_again_after_silence, {"sent twice"}),
+    "a call is sent again after silence": Mistake(Link, "request", asked_again_after_silence, {"sent twice"}),
 }
 
 
--- a/tests/control_orders.py
+++ b/tests/control_orders.py
@@ -9,12 +9,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from sableford.control import order_history, requests
-from sableford.control.configuration import MAX_REVISION, Invalid, amended, check
-from sableford.control.coordinator import APPLIED
+from sableford.control.configuration import MAX_REVISION, InvalidRequestError, amended, check
 from sableford.control.order_history import Archive, closed_segment
 from sableford.control.orders import Confirmed, Proposal, Refused, State, Undecided, decide
+from sableford.control.record_driver import MAX_VALUE_BYTES
 from sableford.control.requests import ConfigurationOrder, OrderKind
-from sableford.control.service import MOST
+from sableford.control.timing import APPLY_WAIT_MS
 from tests.control_service import call, core, joins, run_core, wins_again
 
 STEPS = settings(
@@ -112,7 +112,7 @@
     for place, doc in cases.items():
         try:
             check(doc)
-        except Invalid as problem:
+        except InvalidRequestError as problem:
             assert str(problem).startswith(place), problem
         else:
             raise AssertionError(place)
@@ -131,7 +131,7 @@
     for place, change in cases.items():
         try:
             amended(doc, change)
-        except Invalid as problem:
+        except InvalidRequestError as problem:
             assert str(problem).startswith(place), problem
         else:
             raise AssertionError(place)
@@ -177,7 +177,7 @@
             assert await _replace(control, clock, revision - 1, config(revision)) == 200, revision
             assert await _replace(control, clock, revision - 1, config(revision, "b") | {"x": 1}) != 200
         assert control.state.revision == 300
-        value = control._record.machine.values["config"].data
+        value = control.record.machine.values["config"].data
         assert len(value) < 50 * order_history.RECENT * 2, len(value)  # not all marks with each change
         # A day later nobody sends them again, and what is kept stays bounded.
         control.unix_ms = lambda: 2 * order_history.KEPT_MS
@@ -198,11 +198,11 @@
         joins(control, "e01", role="edge")
         begun = clock[0]
         assert await _replace(control, clock, 0, config(1)) == 200
-        assert clock[0] - begun >= APPLIED, "the edge has not applied its snapshot"
+        assert clock[0] - begun >= APPLY_WAIT_MS, "the edge has not applied its snapshot"
         joins(control, "e01", prompt=True, role="edge")
         begun = clock[0]
         assert await _replace(control, clock, 0, config(1)) == 200
-        assert clock[0] - begun < APPLIED
+        assert clock[0] - begun < APPLY_WAIT_MS
 
     asyncio.run(scene())
 
@@ -211,7 +211,7 @@
     async def scene() -> None:
         control, clock = core()
         assert await run_core(control, clock, lambda: control.leads)
-        assert await _replace(control, clock, 0, config(1) | {"notes": "x" * (MOST + 1000)}) == 413
+        assert await _replace(control, clock, 0, config(1) | {"notes": "x" * (MAX_VALUE_BYTES + 1000)}) == 413
         assert await _replace(control, clock, 0, config(1)) == 200 and control.state.revision == 1
 
     asyncio.run(scene())
@@ -290,14 +290,14 @@
         for bases in ([base], ["1"]):
             try:
                 decision = decide(state, requests.configuration_order(kind, bases, body))
-            except Invalid as problem:
+            except InvalidRequestError as problem:
                 assert str(problem)
             else:
                 assert isinstance(decision, Refused | Proposal)
         for read in (requests.heartbeat, requests.retirement):
             try:
                 read(body)
-            except Invalid as problem:
+            except InvalidRequestError as problem:
                 assert str(problem)
 
     sent()
--- a/tests/control_service.py
+++ b/tests/control_service.py
@@ -5,29 +5,35 @@
 from collections.abc import Callable
 from types import SimpleNamespace
 
+from sableford.common.settings import Settings, Tolerates
+from sableford.control.protocol import JoinRequest, Update, UpdateAcknowledgement
 from sableford.control.record_storage import RecordStorage
 from sableford.control.service import ControlService
 from sableford.control.view import View
-from sableford.node.settings import Settings, Tolerates
 from sableford.transport.http import Answer, Request
+from sableford.transport.link import IncomingMessage
+from sableford.transport.messages import PeerMessage, PeerResponse
 
 
 class Peer:
-    """A held line that takes whatever is put on it; a prompt member applies news at once."""
+    """A link that takes whatever is sent on it; a prompt member applies updates at once."""
 
     closed = False
 
     def __init__(self, name: str, control: ControlService | None = None) -> None:
-        self.peer, self.birth, self.words, self._control = name, f"{name}.1", [], control
-
-    def send(self, head: dict, raw: bytes = b"") -> bool:
-        self.words.append(head)
-        if self._control is not None:
-            asyncio.get_running_loop().call_soon(self._control.ack, self, head)
+        self.peer, self.incarnation, self.messages, self._control = name, f"{name}.1", [], control
+
+    def send(self, message: PeerMessage, body: bytes = b"") -> bool:
+        self.messages.append(message)
+        if self._control is not None and isinstance(message, Update):
+            applied = IncomingMessage(self, UpdateAcknowledgement(message.number, message.term))
+            loop = asyncio.get_running_loop()
+            loop.call_soon(self._control.sessions.handle_acknowledgement, applied)
         return True
 
-    def answer(self, asked: dict, head: dict, raw: bytes = b"") -> None:
-        self.words.append(head)
+    def send_response(self, call_number: int, response: PeerResponse, body: bytes = b"") -> bool:
+        self.messages.append(response)
+        return True
 
 
 class Prompt:
@@ -55,16 +61,18 @@
     """The core at one machine that votes alone, by a clock of the test's."""
     runtime = SimpleNamespace(
         me="s00",
-        links=SimpleNamespace(refused=[], up=[], link=lambda name: None, near=lambda name: None),
-        log=SimpleNamespace(say=lambda event, **facts: None),
-        member=SimpleNamespace(view=View(), leader="", kept=None),
+        links=SimpleNamespace(
+            on_refused=[], on_up=[], link=lambda name: None, responsive_link=lambda name: None
+        ),
+        log=SimpleNamespace(event=lambda name, /, **fields: None),
+        member=SimpleNamespace(view=View(), leader="", peers_on_disk=None),
         settings=Settings(
             "s00", "s00", "z", (7300, 7315), seed_nodes=["s00:7300"], tolerates=Tolerates(losses)
         ),
     )
     clock = [0.0]
     control = ControlService(runtime, Prompt())
-    control._loop = NoTimers(control._loop)
+    control.loop = control.sessions.loop = NoTimers(control.loop)
     control.now = lambda: clock[0]
     folder = RecordStorage([])
     folder.begin(["s00"])
@@ -78,7 +86,7 @@
     end = clock[0] + ms
     while not until() and clock[0] < end:
         clock[0] += 10.0
-        control._tick()
+        control.tick()
         for _ in range(20):
             await asyncio.sleep(0)
     return until()
@@ -100,17 +108,16 @@
 
 def joins(control: ControlService, name: str, prompt: bool = False, **said: object) -> Peer:
     peer = Peer(name, control if prompt else None)
-    place = {"role": "store", "zone": "z", "node": name, "birth": peer.birth, "least": 0}
-    control.join(peer, place | said)
+    about = {"role": "store", "zone": "z", "node": name, "view": View()}
+    request = JoinRequest(incarnation=peer.incarnation, **(about | said))
+    control.sessions.handle_join(IncomingMessage(peer, request, call_number=1))
     return peer
 
 
 async def wins_again(control: ControlService, clock: list[float]) -> bool:
     """It leads anew: members have to join it, and may hold what the leader before granted them till now."""
-    control._record.earlier_leader_until = clock[0]
-    control._coordinate(control.coordinator.step_down())
-    control._lines.clear()
-    control._led = False
+    control.record.earlier_leader_until = clock[0]
+    control.end_lead()
     return await run_core(control, clock, lambda: control.leads)
 
 
@@ -120,10 +127,9 @@
         assert await run_core(control, clock, lambda: control.leads)
         names = [f"s{at:02d}" for at in range(19)]
         for name in names:
-            said = {"role": "store", "zone": "z", "node": name, "birth": f"{name}.1", "least": 0}
-            control.join(Peer(name), said)
+            joins(control, name)
         assert await run_core(control, clock, lambda: list(control.roster.stores) == names)
-        return control._record.machine.last
+        return control.record.machine.last
 
     entries = asyncio.run(scene())
     assert entries < 12, entries  # the voter's own, and one or two for all; 522 had been seen
--- a/tests/control_workers.py
+++ b/tests/control_workers.py
@@ -2,13 +2,14 @@
 
 import asyncio
 
-import msgspec
-
 from sableford.control.coordinator import Coordinator
-from sableford.control.effects import News
+from sableford.control.effects import SendUpdate
 from sableford.control.member_client import MemberClient
+from sableford.control.protocol import JoinRequest, RenewRequest, Update
 from sableford.control.service import ControlService
+from sableford.control.view import View
 from sableford.control.workers import DRAINING, READY, Departure, Worker, WorkerTable
+from sableford.transport.link import IncomingMessage
 from tests.control_member import Scene
 from tests.control_service import Peer, call, core, joins, run_core, wins_again
 
@@ -36,13 +37,20 @@
 
 
 def renews(control: ControlService, peer: Peer, applied: int) -> None:
-    """The store renews its lease, and says up to which news it has applied what it was told."""
-    said = {"birth": peer.birth, "n": applied, "term": control.coordinator.term}
-    control.renew(peer, said)
+    """The store renews its lease, and says up to which update it has applied what it was sent."""
+    request = RenewRequest(
+        incarnation=peer.incarnation,
+        role="store",
+        zone="z",
+        node=peer.peer,
+        update_number=applied,
+        term=control.coordinator.term,
+    )
+    control.sessions.handle_renewal(IncomingMessage(peer, request, call_number=1))
 
 
 def applies(control: ControlService, peer: Peer) -> None:
-    renews(control, peer, control.coordinator.number)
+    renews(control, peer, control.coordinator.update_number)
 
 
 def shows_draining_sent_again_is_acknowledged_only_once_all_stores_know() -> None:
@@ -82,19 +90,19 @@
 
 def shows_a_leader_that_was_cut_off_learns_who_drains_and_who_left() -> None:
     coordinator = Coordinator(1200.0)
-    coordinator.mirror(coordinator.view, [line(3), line(7, id="v"), line(1, id="u")], 0.0)
-    coordinator.lead(0.0, 5)
-    place = {"role": "store", "zone": "z", "node": "n", "birth": "1"}
-    coordinator.joined(0.0, "s1", place)
-    told = coordinator.joined(0.0, "s2", place | {"departed": {"w": 1, "v": 2, "x": 2}})
-    words = [effect.word for effect in told if isinstance(effect, News)]
-    assert [word["worker"]["phase"] for word in words if "worker" in word] == [DRAINING]
-    assert [word["gone"] for word in words if "gone" in word] == ["v"]
-    known = {worker["id"]: worker["phase"] for worker in words[-1]["workers"]}
-    assert known == {"w": DRAINING, "u": READY} and words[-1]["whole"]
+    coordinator.observe(coordinator.view, [line(3), line(7, id="v"), line(1, id="u")], 0.0)
+    coordinator.become_leader(0.0, 5)
+    place = {"role": "store", "zone": "z", "node": "n", "incarnation": "1", "view": View()}
+    coordinator.joined(0.0, "s1", JoinRequest(**place))
+    told = coordinator.joined(0.0, "s2", JoinRequest(**place, departed={"w": 1, "v": 2, "x": 2}))
+    updates = [effect.update for effect in told if isinstance(effect, SendUpdate)]
+    assert [update.worker.phase for update in updates if update.worker is not None] == [DRAINING]
+    assert [update.removed_worker for update in updates if update.removed_worker is not None] == ["v"]
+    known = {worker.id: worker.phase for worker in updates[-1].workers}
+    assert known == {"w": DRAINING, "u": READY} and updates[-1].snapshot
     # Late calls, or a worker that changes its mind, turn nothing back.
     for late in (line(4), line(9), line(9, id="v"), line(1, id="x")):
-        coordinator.beat(1.0, late)
+        coordinator.worker_heartbeat(1.0, late)
     assert {worker.id: worker.phase for worker in coordinator.workers.values()} == known
 
 
@@ -103,17 +111,18 @@
         scene = Scene()
         member: MemberClient = scene.member
         await scene.join(term=3)
-        news = {"op": "news", "term": 3, "whole": True}
-        lines = [msgspec.to_builtins(one) for one in (line(3), line(7, id="v"), line(1, id="u"))]
-        member.news(scene.link, news | {"n": 1, "workers": lines})
-        told = {"op": "news", "term": 3}
-        drains = msgspec.to_builtins(line(5, DRAINING))
-        member.news(scene.link, told | {"n": 2, "prev": 1, "worker": drains})
-        member.news(scene.link, told | {"n": 3, "prev": 2, "gone": "v", "left": True})
-        member.news(scene.link, told | {"n": 4, "prev": 3, "gone": "u"})
+        workers = [line(3), line(7, id="v"), line(1, id="u")]
+
+        def hears(**update: object) -> None:
+            member.apply_update(scene.link, Update(**update))
+
+        hears(term=3, number=1, snapshot=True, workers=workers)
+        hears(term=3, number=2, previous=1, worker=line(5, DRAINING))
+        hears(term=3, number=3, previous=2, removed_worker="v", worker_left=True)
+        hears(term=3, number=4, previous=3, removed_worker="u")
         await scene.join(term=4)
-        assert scene.link.asked[0]["departed"] == {"w": Departure.DRAINING, "v": Departure.LEFT}
-        member.news(scene.link, news | {"term": 4, "n": 0, "workers": lines})  # of a leader that was cut off
+        assert scene.link.asked[0].departed == {"w": Departure.DRAINING, "v": Departure.LEFT}
+        hears(term=4, number=0, snapshot=True, workers=workers)  # of a leader that was cut off
         phases = {id: worker.phase for id, worker in member.workers.items()}
         assert phases == {"w": DRAINING, "u": READY}, phases
 
--- a/tests/edge_gateway.py
+++ b/tests/edge_gateway.py
@@ -4,30 +4,48 @@
 import itertools
 from types import SimpleNamespace
 
+import orjson
+
+from sableford.control.protocol import ConfigurationVersion
 from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.edge import gateway
 from sableford.edge.gateway import Gateway
 from sableford.edge.put_progress import PutOutcome, PutProgress
 from sableford.store.simulation import DOC
+from sableford.transport.errors import CallError
+from sableford.transport.frames import Frame, read_envelope
 from sableford.transport.http import Answer, Request
-from sableford.transport.verdict import CallResult, Ran
+from sableford.transport.link import CallResult, response_decoder
+from sableford.transport.messages import PeerRequest
+from sableford.transport.verdict import Execution
 from tests.memory_network import simulated
 
-BROKEN, UNSENT = CallResult(Ran.MAYBE), CallResult(Ran.NOT_RUN)
+BROKEN, UNSENT = CallResult(Execution.UNKNOWN), CallResult(Execution.NOT_RUN)
 
 
 class Owner:
-    """What an edge sees of a store: a line, and answers to what is asked there, one after the other."""
+    """What an edge sees of a store: a link, and responses to what is asked there, one after the other, as
+    they come over the wire."""
 
     def __init__(self, *answers: dict | CallResult) -> None:
         self.answers, self.puts = list(answers), []
 
-    async def call(self, head: dict, raw: bytes, within_ms: float) -> CallResult:
-        self.puts.append(dict(head))
+    async def call(self, request: PeerRequest, body: bytes, timeout_ms: float) -> CallResult:
+        self.puts.append(request)
         answer = self.answers.pop(0)
-        return (
-            answer if isinstance(answer, CallResult) else CallResult(Ran.DONE, answer, answer.get("raw", b""))
-        )
+        return answer if isinstance(answer, CallResult) else received(request, answer)
+
+
+def received(request: PeerRequest, answer: dict) -> CallResult:
+    """What a link makes of an answer; its key `raw` is the body."""
+    fields = {name: value for name, value in answer.items() if name != "raw"}
+    head = orjson.dumps(fields)
+    frame = Frame(read_envelope(head), head, answer.get("raw", b""))
+    try:
+        response = response_decoder(request.response_type)(frame)
+    except CallError as problem:
+        return CallResult(problem.execution)
+    return CallResult(Execution.DONE, response.message, response.body)
 
 
 def edge(stores: dict[str, Owner], silent: tuple[str, ...] = ()) -> Gateway:
@@ -38,7 +56,7 @@
     )  # fmt: skip
     loop = asyncio.get_running_loop()
     runtime = SimpleNamespace(
-        log=SimpleNamespace(say=lambda event, **facts: None),
+        log=SimpleNamespace(event=lambda name, /, **fields: None),
         settings=SimpleNamespace(
             zone="z",
             rule_bounds=SimpleNamespace(apply_ms=3000.0),
@@ -46,19 +64,19 @@
         ),
         now=lambda: loop.time() * 1000.0,
         links=SimpleNamespace(
-            near=lambda name: None if name in silent else stores.get(name), link=stores.get
+            responsive_link=lambda name: None if name in silent else stores.get(name), link=stores.get
         ),
         member=SimpleNamespace(view=view, lease=1e9, changed=asyncio.Event()),
     )
     gate = Gateway(runtime)
-    gate._config({"revision": 1, "doc": DOC})
-    gate._view(view)
+    gate.configuration_changed(ConfigurationVersion(1, DOC))
+    gate.view_changed(view)
     return gate
 
 
 def asked(gate: Gateway, path: str, *fields: tuple[bytes, bytes], method: str = "POST"):
     """What a request is answered: now or once awaited."""
-    return gate._handle(Request(method, path.encode("latin-1"), [(b"host", b"h"), *fields], b"x", True))
+    return gate.handle(Request(method, path.encode("latin-1"), [(b"host", b"h"), *fields], b"x", True))
 
 
 def taken(stores: dict[str, Owner], silent: tuple[str, ...] = (), key: str = "") -> tuple[int, dict]:
@@ -81,9 +99,9 @@
     # Being taken as its owner let it go: the same shard, under the same name, marked.
     moved = Owner({"no": "owner", "may": True}, {"no": "owner"}, {"kept": True})
     status, headers = taken({"s0": moved})
-    assert (status, headers["Message-Ref"]) == (202, moved.puts[0]["ref"])
-    assert [put["again"] for put in moved.puts] == [False, True, True]
-    assert len({put["ref"] for put in moved.puts}) == 1
+    assert (status, headers["Message-Ref"]) == (202, moved.puts[0].ref)
+    assert [put.is_retry for put in moved.puts] == [False, True, True]
+    assert len({put.ref for put in moved.puts}) == 1
     # Never known to be taken, and never to be found out: nothing is promised.
     assert taken({"s0": Owner({"may": True}, *[{"no": "owner"}] * 40)})[0] == 504
     # Silent: nothing is put there, and its client hears when to come back.
@@ -106,8 +124,8 @@
             store = Owner(*answers, {"kept": True})
             assert taken({"s0": store})[0] == 202, answers
             marked = [any(one in unclear for one in answers[:at]) for at in range(count + 1)]
-            assert [put["again"] for put in store.puts] == marked, answers
-            named = [put["ref"] for put, again in zip(store.puts, marked, strict=True) if again]
+            assert [put.is_retry for put in store.puts] == marked, answers
+            named = [put.ref for put, again in zip(store.puts, marked, strict=True) if again]
             assert len(set(named)) <= 1, answers  # each later put is of the same name, so of the same shard
     for answer in unclear:
         assert taken({"s0": Owner(answer, *[{"no": "owner"}] * 40)})[0] == 504, answer
@@ -124,21 +142,21 @@
     class Forgetful(PutProgress):
         """The last answer counts."""
 
-        def heard(self, outcome: PutOutcome) -> None:
-            super().heard(outcome)
+        def add(self, outcome: PutOutcome) -> None:
+            super().add(outcome)
             self.unclear = outcome is PutOutcome.UNCLEAR
 
     class Hopeful(PutProgress):
         """A silence is a no: it goes elsewhere."""
 
-        def heard(self, outcome: PutOutcome) -> None:
-            super().heard(PutOutcome.NOT_TAKEN if outcome is PutOutcome.UNCLEAR else outcome)
+        def add(self, outcome: PutOutcome) -> None:
+            super().add(PutOutcome.NOT_TAKEN if outcome is PutOutcome.UNCLEAR else outcome)
 
     class Fearful(PutProgress):
         """What was never sent may have been taken."""
 
-        def heard(self, outcome: PutOutcome) -> None:
-            super().heard(outcome if outcome is PutOutcome.KEPT else PutOutcome.UNCLEAR)
+        def add(self, outcome: PutOutcome) -> None:
+            super().add(outcome if outcome is PutOutcome.KEPT else PutOutcome.UNCLEAR)
 
     for mistake in (Forgetful, Hopeful, Fearful):
         gateway.PutProgress = mistake
@@ -242,7 +260,7 @@
         got, puts = answer_to((b"attempt-id", value))
         ref = dict(got.headers)["Message-Ref"]
         assert got.status == 202 and ref.isascii() and len(ref) <= 64 and "/" not in ref and " " not in ref
-        assert puts[0]["id"].encode("latin-1") == value
+        assert puts[0].id.encode("latin-1") == value
     for ref in ("\xb2\xb2-x", "99-x", "7-x", "-x", "", "0a-x", "+1-x"):
         got, _ = answer_to(path=f"/v1/message/{ref}", method="GET")
         assert got.status == 404, ref
--- a/tests/handover.py
+++ b/tests/handover.py
@@ -43,7 +43,7 @@
 
     async def at_rest(self) -> None:
         """Its thread has done all that it was asked, so the folder is no longer written by it."""
-        await self.it._hand.do("at rest", lambda: None)
+        await self.it._file_calls.submit("at rest", lambda: None)
 
     async def die(self) -> None:
         """As by a kill: nothing more is said, its thread writes nothing more, and the lock goes."""
--- a/tests/http_calls.py
+++ b/tests/http_calls.py
@@ -4,12 +4,13 @@
 import asyncio
 from types import SimpleNamespace
 
-from sableford.store.choice import Line
+from sableford.store.choice import WorkerEntry
 from sableford.store.delivery import DeliveryClient
+from sableford.transport.errors import NotSentError, UnansweredError
 from sableford.transport.http import Answer, Bounds, Request
-from sableford.transport.http_client import HEAD_MOST, ClientConnection
+from sableford.transport.http_client import MAX_HEAD_BYTES, ClientConnection
 from sableford.transport.http_server import HttpServer, ServerConnection
-from sableford.transport.verdict import NotSent, Ran, Unanswered, Verdict
+from sableford.transport.verdict import Execution, Verdict
 from tests.memory_network import MemoryTransport, attached, simulated
 
 HEAD_BOUND, BODY_BOUND = 400, 50  # bytes, of the server in these tests
@@ -271,8 +272,8 @@
             answered("Connection: upgrade", "Upgrade: x", status=101),
         ]  # fmt: skip
         for part in cut:
-            assert isinstance(await asked(part), Unanswered), part
-        assert isinstance(await asked(ended, end=ConnectionResetError()), Unanswered)
+            assert isinstance(await asked(part), UnansweredError), part
+        assert isinstance(await asked(ended, end=ConnectionResetError()), UnansweredError)
 
     simulated(scene)
 
@@ -301,10 +302,10 @@
         transport = attached(connection)
         future = connection.ask(b"POST")
         connection.data_received(b"HTTP/1.1 200 OK\r\nX: ")
-        for _ in range(2 * HEAD_MOST // 1000):
+        for _ in range(2 * MAX_HEAD_BYTES // 1000):
             if not transport.closing:
                 connection.data_received(b"y" * 1000)
-        assert transport.closing and isinstance(future.exception(), Unanswered)
+        assert transport.closing and isinstance(future.exception(), UnansweredError)
 
     simulated(scene)
 
@@ -330,7 +331,7 @@
         transport = attached(connection)
         connection.data_received(OWN)
         assert not connection.usable() and transport.closing
-        assert isinstance(connection.ask(b"POST").exception(), NotSent) and not transport.written
+        assert isinstance(connection.ask(b"POST").exception(), NotSentError) and not transport.written
         # For as long as its worker says, with something to spare.
         connection = ClientConnection()
         attached(connection)
@@ -373,14 +374,14 @@
 
 
 MESSAGE = SimpleNamespace(
-    head={"method": "POST", "target": "/a", "host": "h", "id": "7", "key": ""}
+    header=SimpleNamespace(method="POST", target="/a", host="h", id="7", key="", content_type="")
 )  # what a delivery reads of it
-LINE = Line("i-7", "b", "w", 1, "z", 1, True)
+WORKER = WorkerEntry("i-7", "b", "w", 1, "z", 1, True)
 LEFT_MS = 1500.0
 
 
 def delivered(client: DeliveryClient, loop, left_ms: float = LEFT_MS, **more):
-    return client.deliver(MESSAGE, b"x", LINE, loop.time() * 1000.0 + left_ms, **more)
+    return client.deliver(MESSAGE, b"x", WORKER, loop.time() * 1000.0 + left_ms, **more)
 
 
 def shows_a_message_is_sent_once_an_attempt_and_its_verdict_says_what_is_proved(
@@ -391,30 +392,30 @@
     async def scene(loop) -> None:
         other = OWN.replace(b"Id: 7", b"Id: 6")
         cases = [
-            (lambda end: end.transport.write(OWN), Ran.DONE, 0),
-            (lambda end: end.transport.abort(), Ran.MAYBE, 1),
-            (lambda end: end.transport.close(), Ran.MAYBE, 1),
-            (lambda end: (end.transport.write(OWN[:-1]), end.transport.close()), Ran.MAYBE, 1),
-            (lambda end: None, Ran.MAYBE, 1),
-            (lambda end: end.transport.write(other), Ran.MAYBE, 1),
-            (lambda end: end.transport.write(other + OWN), Ran.MAYBE, 1),
-            (lambda end: end.transport.write(OWN + other), Ran.DONE, 1),
+            (lambda end: end.transport.write(OWN), Execution.DONE, 0),
+            (lambda end: end.transport.abort(), Execution.UNKNOWN, 1),
+            (lambda end: end.transport.close(), Execution.UNKNOWN, 1),
+            (lambda end: (end.transport.write(OWN[:-1]), end.transport.close()), Execution.UNKNOWN, 1),
+            (lambda end: None, Execution.UNKNOWN, 1),
+            (lambda end: end.transport.write(other), Execution.UNKNOWN, 1),
+            (lambda end: end.transport.write(other + OWN), Execution.UNKNOWN, 1),
+            (lambda end: end.transport.write(OWN + other), Execution.DONE, 1),
         ]
         for does, ran, lost in cases:
             worker, client = Worker(loop, does), make()
-            assert (await delivered(client, loop)).ran is ran
+            assert (await delivered(client, loop)).execution is ran
             await asyncio.sleep(0.01)
             assert len(worker.requests) == 1 and worker.lost == lost, (ran, worker.requests, worker.lost)
         # Never reached: refused, never connected, gone before the first byte. Nothing is left open.
         loop.listeners.clear()
-        assert (await delivered(make(), loop)).ran is Ran.NOT_RUN
+        assert (await delivered(make(), loop)).execution is Execution.NOT_RUN
         worker = Worker(loop)
         loop.dial_ms = 400.0
-        assert (await delivered(make(), loop)).ran is Ran.NOT_RUN
+        assert (await delivered(make(), loop)).execution is Execution.NOT_RUN
         await asyncio.sleep(1.0)
         assert not worker.requests and worker.lost == 1
         loop.dial_ms, worker.shuts = 1.0, True
-        assert (await delivered(make(), loop)).ran is Ran.NOT_RUN and not worker.requests
+        assert (await delivered(make(), loop)).execution is Execution.NOT_RUN and not worker.requests
 
     simulated(scene)
 
@@ -423,11 +424,11 @@
     async def scene(loop) -> None:
         worker, client = Worker(loop), DeliveryClient()
         loop.dial_ms = 100.0
-        assert (await delivered(client, loop, 100.5)).ran is Ran.NOT_RUN and not worker.requests
+        assert (await delivered(client, loop, 100.5)).execution is Execution.NOT_RUN and not worker.requests
         verdict = await delivered(client, loop, may_send=lambda: False)
-        assert verdict.ran is Ran.NOT_RUN and verdict.reached and not worker.requests
+        assert verdict.execution is Execution.NOT_RUN and verdict.reached and not worker.requests
         # Its connection is as good as before.
-        assert (await delivered(client, loop)).ran is Ran.DONE
+        assert (await delivered(client, loop)).execution is Execution.DONE
         assert client.dials == 1 and b"Deadline-Ms: 1500\r\n" in worker.requests[0]
 
     simulated(scene)
@@ -438,13 +439,13 @@
 
     async def scene(loop) -> None:
         worker, client = Worker(loop, lambda end: None), DeliveryClient()
-        assert (await delivered(client, loop)).ran is Ran.MAYBE
+        assert (await delivered(client, loop)).execution is Execution.UNKNOWN
         again = loop.create_task(delivered(client, loop))
         await asyncio.sleep(0.1)
         assert len(worker.ends) == 2 and worker.lost == 1  # a connection of its own
         assert worker.ends[0].transport.closing and not again.done()
         worker.ends[1].transport.write(answered("Attempt-Id: 7", "Content-Length: 0", status=500))
-        assert (await again).ran is Ran.FAILED
+        assert (await again).execution is Execution.FAILED
 
     simulated(scene)
 
@@ -455,17 +456,17 @@
 
         async def _exchange(self, connection, *more):
             verdict = await super()._exchange(connection, *more)
-            if verdict.ran is not Ran.MAYBE:
+            if verdict.execution is not Execution.UNKNOWN:
                 return verdict
-            return await super()._exchange(await self._dial(LINE), *more)
+            return await super()._exchange(await self._dial(WORKER), *more)
 
     class Sanguine(DeliveryClient):
         """What broke off has not run."""
 
         async def _exchange(self, *more):
             verdict = await super()._exchange(*more)
-            broke = verdict.ran is Ran.MAYBE and not verdict.reached
-            return Verdict(Ran.NOT_RUN, verdict.why) if broke else verdict
+            broke = verdict.execution is Execution.UNKNOWN and not verdict.reached
+            return Verdict(Execution.NOT_RUN, verdict.why) if broke else verdict
 
     class Thrifty(DeliveryClient):
         """A connection with an answer outstanding is kept."""
