--- a/tests/order.py
+++ b/tests/order.py
@@ -13,17 +13,22 @@
     rule,
     run_state_machine_as_test,
 )
+from msgspec.structs import replace
 
 from sableford.control.view import SHARDS, StoreInfo, View, shard_of
-from sableford.store.choice import Choice, Line
-from sableford.store.messages import Deliver, Keep, Message, Reply
-from sableford.store.queue import Queue
+from sableford.store.choice import Choice, WorkerEntry
+from sableford.store.delivery_order import DeliveryOrder
+from sableford.store.endings import Endings
+from sableford.store.messages import Deliver, Message, RespondToPut, WriteFinalState, WriteMessage
+from sableford.store.protocol import PutRequest
+from sableford.store.queue import Queue, QueueParts
+from sableford.store.replica_placement import ReplicaPlacement
 from sableford.store.simulation import DOC
 from sableford.transport.routes import Table
-from sableford.transport.verdict import Ran, Verdict
+from sableford.transport.verdict import Execution, Verdict
 
 KEYS = ["", "k1", "k2"]
-ENDINGS = [Ran.DONE, Ran.FAILED, Ran.NEVER, Ran.NOT_RUN, Ran.MAYBE]
+ENDINGS = [Execution.DONE, Execution.FAILED, Execution.IMPOSSIBLE, Execution.NOT_RUN, Execution.UNKNOWN]
 
 
 class OneStore(RuleBasedStateMachine):
@@ -38,7 +43,7 @@
         self.writes: list[tuple[str, str]] = []
         self.accepted: list[str] = []
         self.keys: dict[str, str] = {}
-        self.out: dict[str, str] = {}
+        self.in_flight: dict[str, str] = {}
         self.done: set[str] = set()  # succeeded, and the answer was read
         self.failed: dict[str, int] = {}
         self.begin()
@@ -46,42 +51,53 @@
     def begin(self) -> None:
         """A runtime: whole folder, alone in its roster, all shards its own."""
         self.lives += 1
-        birth = f"b{self.lives}"
-        choice = Choice("z", birth)
-        self.queue = self.make("s", birth, 0, Table(1, DOC), choice, 600.0, True)
+        incarnation = f"b{self.lives}"
+        choice = Choice("z", incarnation)
+        self.queue = self.make("s", incarnation, 0, Table(1, DOC), choice, 600.0, True)
         for at in range(2):
-            choice.put(self.now, Line(f"w{at}", "a", "10.0.0.1", 80, "z", 2, True), 0.0)
+            choice.put(self.now, WorkerEntry(f"w{at}", "a", "10.0.0.1", 80, "z", 2, True), 0.0)
         for (what, ref), value in self.disk.items():
             if what == "e":
-                self.queue.ends[ref] = value
-        for ref, (head, due, born) in [(ref, one) for (what, ref), one in self.disk.items() if what == "m"]:
-            if ref not in self.queue.ends:
-                message = self.queue.held[ref] = Message(dict(head), b"x", due, born)
+                self.queue.state.final_states[ref] = value
+        for ref, (header, due_at, sent_at) in [
+            (ref, one) for (what, ref), one in self.disk.items() if what == "m"
+        ]:
+            if ref not in self.queue.state.final_states:
+                message = self.queue.state.messages[ref] = Message(header, b"x", due_at, sent_at)
                 message.synced = True
-        self.queue.lease = 1e12
+        self.queue.state.lease = 1e12
         number = (self.lives, 1)
         view = View(
-            number, ["s"] * SHARDS, [birth] * SHARDS, [number] * SHARDS, {"s": StoreInfo(birth, "z")}, ["s"]
+            number,
+            ["s"] * SHARDS,
+            [incarnation] * SHARDS,
+            [number] * SHARDS,
+            {"s": StoreInfo(incarnation, "z")},
+            ["s"],
         )
-        self.do(self.queue.see(self.now, view))
+        self.do(self.queue.apply_view(self.now, view))
 
     def do(self, effects: list) -> None:
         for effect in effects:
             match effect:
-                case Keep(what, ref):
-                    self.writes.append((what, ref))
-                case Reply(ref, word) if word.get("kept") and ref not in self.accepted:
+                case WriteMessage(ref):
+                    self.writes.append(("m", ref))
+                case WriteFinalState(ref):
+                    self.writes.append(("e", ref))
+                case RespondToPut(ref, response) if response.kept and ref not in self.accepted:
                     self.accepted.append(ref)
                 case Deliver(ref, worker, _):
-                    assert ref not in self.out and ref in self.accepted, ref
+                    assert ref not in self.in_flight and ref in self.accepted, ref
                     assert ref not in self.done, f"{ref} runs again after its success was read"
                     if key := self.keys[ref]:
                         before = self.accepted[: self.accepted.index(ref)]
                         open_ = [
-                            one for one in before if self.keys[one] == key and one not in self.queue.ends
+                            one
+                            for one in before
+                            if self.keys[one] == key and one not in self.queue.state.final_states
                         ]
                         assert not open_, f"{ref} starts before {open_}"
-                    self.out[ref] = worker
+                    self.in_flight[ref] = worker
 
     @rule(key=st.sampled_from(KEYS), again=st.booleans())
     def put(self, key: str, again: bool) -> None:
@@ -90,37 +106,51 @@
         shard = shard_of(key) if key else self.count % SHARDS
         ref = list(self.keys)[-1] if again and self.keys else f"{shard:02d}-{self.count}"
         key = self.keys.setdefault(ref, key)
-        head = {"ref": ref, "shard": int(ref[:2]), "key": key, "id": ref, "host": "h", "method": "POST"}
-        head |= {"target": "/a" if key else "/b", "delay": 0.0, "age": 0.0, "revision": 1, "again": again}
-        self.do(self.queue.put(self.now, head, b"x", ref))
+        request = PutRequest(
+            ref=ref,
+            shard=int(ref[:2]),
+            key=key,
+            id=ref,
+            host="h",
+            method="POST",
+            target="/a" if key else "/b",
+            delay_ms=0.0,
+            age_ms=0.0,
+            revision=1,
+            is_retry=again,
+        )
+        self.do(self.queue.put(self.now, request, b"x", ref))
 
     @precondition(lambda self: self.writes)
     @rule(most=st.integers(1, 4))
     def sync(self, most: int) -> None:
         written, self.writes = self.writes[:most], self.writes[most:]
         for what, ref in written:
-            message = self.queue.held.get(ref)
+            message = self.queue.state.messages.get(ref)
             if message is None:
                 continue
             if what == "m":
-                head = dict(message.head) | {"tries": message.tries}
-                self.disk["m", ref] = (head, message.due, message.born)
+                header = replace(message.header, attempts=message.attempts)
+                self.disk["m", ref] = (header, message.due_at, message.sent_at)
+                self.do(self.queue.message_written(self.now, ref))
             else:
                 self.disk.pop(("m", ref), None)
-                self.disk["e", ref] = message.end
-            self.do(self.queue.kept(self.now, what, ref))
+                self.disk["e", ref] = message.final_state
+                self.do(self.queue.final_state_written(self.now, ref))
 
-    @precondition(lambda self: self.out)
+    @precondition(lambda self: self.in_flight)
     @rule(data=st.data(), ran=st.sampled_from(ENDINGS))
-    def over(self, data, ran: Ran) -> None:
-        ref = data.draw(st.sampled_from(sorted(self.out)))
-        worker = self.out.pop(ref)
-        if ran is Ran.DONE:
+    def over(self, data, ran: Execution) -> None:
+        ref = data.draw(st.sampled_from(sorted(self.in_flight)))
+        worker = self.in_flight.pop(ref)
+        if ran is Execution.DONE:
             self.done.add(ref)
-        if ran is Ran.FAILED:
+        if ran is Execution.FAILED:
             self.failed[ref] = self.failed.get(ref, 0) + 1
         self.do(
-            self.queue.delivered(self.now, ref, worker, Verdict(ran, "", "seal" if ran is Ran.DONE else ""))
+            self.queue.delivered(
+                self.now, ref, worker, Verdict(ran, "", "seal" if ran is Execution.DONE else "")
+            )
         )
 
     @rule(ms=st.sampled_from([1.0, 20.0, 500.0]))
@@ -131,7 +161,7 @@
     @rule()
     def power(self) -> None:
         """What was not synced is gone, and so is what was known of deliveries: a success may run again."""
-        self.writes, self.out = [], {}
+        self.writes, self.in_flight = [], {}
         kept = {ref for what, ref in self.disk if what == "e"}
         self.done &= kept
         self.failed = {ref: count for ref, count in self.failed.items() if ref in kept}
@@ -140,31 +170,36 @@
     @invariant()
     def nothing_accepted_is_lost(self) -> None:
         for ref in self.accepted:
-            assert ref in self.queue.held or ref in self.queue.ends, ref
-            end = self.queue.ends.get(ref)
+            assert ref in self.queue.state.messages or ref in self.queue.state.final_states, ref
+            end = self.queue.state.final_states.get(ref)
             if end is not None and end.phase == "dead_letter" and end.why.startswith("failed"):
                 assert self.failed.get(ref, 0) >= 3 or ("e", ref) in self.disk, ref
 
 
-class Jumpy(Queue):
+class SendsOutOfTurn(DeliveryOrder):
     """Sends whatever is due, whose turn it is or not."""
 
-    def _first(self, message):
+    def is_first_of_key(self, message):
         return True
 
 
-class Hasty(Queue):
+class NeedsNoDisk(ReplicaPlacement):
     """Says kept before any disk has it."""
 
-    def _safe(self, message):
+    def is_safe(self, message):
         return True
 
 
-class Forgetful(Queue):
+class NeverEnds(Endings):
     """Takes no end for one."""
 
-    def _end(self, now, message, end):
-        self._back(now, message, 0.0)
+    def finish(self, now, message, final_state):
+        self._order.requeue(now, message, 0.0)
+
+
+def with_parts(**parts: type) -> type[Queue]:
+    """A queue with mistaken parts."""
+    return type("Mistaken", (Queue,), {"parts": QueueParts(**parts)})
 
 
 def played(queue: type[Queue]) -> None:
@@ -186,10 +221,14 @@
 
 
 def shows_a_store_that_does_not_keep_its_word_is_found_out() -> None:
-    for mistaken in (Jumpy, Hasty, Forgetful):
+    for part, mistaken in (
+        ("order", SendsOutOfTurn),
+        ("placement", NeedsNoDisk),
+        ("endings", NeverEnds),
+    ):
         try:
             with redirect_stdout(StringIO()):
-                played(mistaken)
+                played(with_parts(**{part: mistaken}))
         except AssertionError:
             continue
         raise AssertionError(f"not found: {mistaken.__doc__}")
--- a/tests/pairs.py
+++ b/tests/pairs.py
@@ -1,5 +1,8 @@
 """Two versions in one fleet: stores of the last version that landed beside stores of this one, in simulated
-time. The older one is read from the repository's history; where there is none there is nothing to play."""
+time. The older one is read from the repository's history; where there is none there is nothing to play.
+
+What passes between the two is put into the form of the wire and read from it, as between processes.
+"""
 
 import importlib
 import io
@@ -7,21 +10,52 @@
 import sys
 import tarfile
 import tempfile
+from collections.abc import Iterator, MutableMapping
 from pathlib import Path
+from types import ModuleType
+from typing import Any, NamedTuple
 
 import msgspec
 
+from sableford.control.view import Number, View
+from sableford.store import choice as store_choice
 from sableford.store import messages
-from sableford.store.messages import End
+from sableford.store.messages import Message, State
+from sableford.store.protocol import (
+    CopyRequest,
+    FinalState,
+    MessageHeader,
+    MessageState,
+    PulledMessage,
+    PullResponse,
+    PutResponse,
+)
 from sableford.store.queue import Queue
 from sableford.store.simulation import Simulation
-from sableford.transport.verdict import Ran, Verdict
+from sableford.transport.verdict import Execution, Verdict
+
+LANDED = "863ec06101c9455979cb737f54ec6ce3914f12af"  # renewed with each landing
+STATES = {
+    "COPY": State.REPLICA,
+    "TAKING": State.ACCEPTING,
+    "WAITING": State.WAITING,
+    "OUT": State.IN_FLIGHT,
+    "AWAY": State.IN_FLIGHT_ELSEWHERE,
+    "ENDING": State.ENDING,
+}
+
 
-LANDED = "4f2a081ef09fe1532108fdb2823bac674669f985"  # renewed with each landing
+class Landed(NamedTuple):
+    """The modules of the landed version that a queue is made of."""
 
+    queue: ModuleType
+    messages: ModuleType
+    verdict: ModuleType
+    view: ModuleType
 
-def landed(folder: str) -> tuple[type, type, type, type] | None:
-    """Queue, Verdict, Ran and View of the landed version; none without history."""
+
+def landed(folder: str) -> Landed | None:
+    """None without history."""
     root = Path(__file__).parent.parent
     got = subprocess.run(["git", "archive", LANDED, "sableford"], cwd=root, capture_output=True, check=False)
     if got.returncode:
@@ -31,10 +65,8 @@
     mine = {name: sys.modules.pop(name) for name in list(sys.modules) if name.split(".")[0] == "sableford"}
     sys.path.insert(0, folder)
     try:
-        queue = importlib.import_module("sableford.margherita.queue")  # its name in that version
-        verdict = importlib.import_module("sableford.altavia.verdict")
-        view = importlib.import_module("sableford.leconte.view")
-        return queue.Queue, verdict.Verdict, verdict.Ran, view.View
+        names = ("store.queue", "store.messages", "transport.verdict", "control.view")
+        return Landed(*(importlib.import_module(f"sableford.{name}") for name in names))
     finally:
         sys.path.remove(folder)
         for name in [name for name in sys.modules if name.split(".")[0] == "sableford"]:
@@ -42,90 +74,233 @@
         sys.modules.update(mine)
 
 
-def older(queue: type, verdict: type, ran: type, view: type) -> type:
-    """The older queue, its words and ours put into each other's types, as the wire does."""
+def wire(value: Any) -> Any:
+    """As it stands on the wire: maps and lists, under the wire's names."""
+    return msgspec.to_builtins(value)
+
+
+class OlderMessage:
+    """A message of the older queue, as the simulation reads one of this version."""
+
+    def __init__(self, older: Any) -> None:
+        self.older = older
+
+    ref = property(lambda self: self.older.ref)
+    shard = property(lambda self: self.older.shard)
+    due_at = property(lambda self: self.older.due)
+    sent_at = property(lambda self: self.older.born)
+    attempts = property(lambda self: self.older.tries)
+    synced = property(lambda self: self.older.synced)
+    state = property(lambda self: STATES[self.older.state.name])
+    header = property(lambda self: msgspec.convert(self.older.head, MessageHeader))
+
+    @property
+    def body(self) -> bytes | None:
+        return self.older.body
+
+    @body.setter
+    def body(self, body: bytes | None) -> None:
+        self.older.body = body
+
+    def copy_request(self, now: float, epoch: Number) -> CopyRequest:
+        head = self.older.head | self.older.times(now) | {"epoch": epoch, "tries": self.older.tries}
+        return msgspec.convert(head, CopyRequest)
+
+    def pulled_message(self, now: float) -> PulledMessage:
+        return msgspec.convert(self.older.head | self.older.times(now), PulledMessage)
+
+
+class Converted(MutableMapping):
+    """A table of the older queue, whose values are read and written as those of this version."""
+
+    def __init__(self, table: dict, newer: Any, older: Any) -> None:
+        self._table, self._newer, self._older = table, newer, older
+
+    def __getitem__(self, ref: str) -> Any:
+        return self._newer(self._table[ref])
+
+    def __setitem__(self, ref: str, value: Any) -> None:
+        self._table[ref] = self._older(value)
+
+    def __delitem__(self, ref: str) -> None:
+        del self._table[ref]
+
+    def __iter__(self) -> Iterator[str]:
+        return iter(self._table)
+
+    def __len__(self) -> int:
+        return len(self._table)
+
+
+class Same:
+    """Attributes that have another name in the older queue."""
+
+    def __init__(self, name: str) -> None:
+        self._name = name
+
+    def __get__(self, owner: Any, kind: type) -> Any:
+        return getattr(owner.older, self._name)
+
+    def __set__(self, owner: Any, value: Any) -> None:
+        setattr(owner.older, self._name, value)
+
+
+class OlderQueue:
+    """The landed queue under the names and types of this version."""
+
+    landed: Landed
+
+    def __init__(self, *given: Any) -> None:
+        self.older = self.landed.queue.Queue(*given)
+        self._view = View()
+        self.messages = Converted(self.older.held, OlderMessage, self._older_message)
+        self.final_states = Converted(self.older.ends, lambda end: FinalState(*end), self._older_end)
+
+    state = property(lambda self: self)
+    me, incarnation, complete = Same("me"), Same("birth"), Same("whole")
+    owned, unresponsive, lease = Same("owned"), Same("quiet"), Same("lease")
+    zone_of, full = Same("zone_of"), Same("full")
+
+    def _older_message(self, message: Message) -> Any:
+        older = self.landed.messages.Message(
+            wire(message.header), message.body, message.due_at, message.sent_at
+        )
+        older.synced = message.synced
+        return older
+
+    def _older_end(self, final_state: FinalState) -> Any:
+        return self.landed.messages.End(*wire(final_state))
+
+    def _older_verdict(self, verdict: Verdict) -> Any:
+        module = self.landed.verdict
+        return module.Verdict(module.Ran(verdict.execution.value), *verdict[1:])
+
+    def _effects(self, effects: list) -> list:
+        return [self._effect(type(one).__name__, one) for one in effects]
+
+    def _effect(self, name: str, older: Any) -> Any:
+        match name:
+            case "Keep":
+                kind = messages.WriteMessage if older.what == "m" else messages.WriteFinalState
+                return kind(older.ref)
+            case "TellEnd":
+                return messages.CopyFinalState(older.to, older.ref, older.shard, FinalState(*older.end))
+            case "Reply":
+                return messages.RespondToPut(older.waiter, msgspec.convert(older.word, PutResponse))
+            case "Late":
+                verdict = Verdict(Execution(older.verdict.ran.value), *older.verdict[1:])
+                return messages.SendDeliveryResult(older.to, older.ref, older.shard, verdict)
+        same = {
+            "KeepEnds": messages.WriteFinalStates,
+            "Copy": messages.CopyMessage,
+            "Drop": messages.DropReplica,
+            "Fill": messages.CopyFinalStates,
+            "ListEnds": messages.ListFinalStates,
+            "Deliver": messages.Deliver,
+            "Pull": messages.Pull,
+            "Settle": messages.AskFinalStates,
+            "Seek": messages.Lookup,
+            "Said": messages.LogEvent,
+        }
+        return same[name](*older)
+
+    # The view
+
+    @property
+    def view(self) -> View:
+        return self._view
+
+    @view.setter
+    def view(self, view: View) -> None:
+        self._view = view
+        self.older.view = msgspec.convert(wire(view), self.landed.view.View)
+
+    def apply_view(self, now: float, view: View) -> list:
+        self._view = view
+        return self._effects(self.older.see(now, msgspec.convert(wire(view), self.landed.view.View)))
+
+    # Events
+
+    def put(self, now, request, body, waiter):
+        return self._effects(self.older.put(now, wire(request), body, waiter))
+
+    def message_written(self, now, ref, problem=""):
+        return self._effects(self.older.kept(now, "m", ref, problem))
+
+    def final_state_written(self, now, ref, problem=""):
+        return self._effects(self.older.kept(now, "e", ref, problem))
+
+    def message_copied(self, now, ref, store, accepted):
+        return self._effects(self.older.copied(now, ref, store, accepted))
+
+    def final_state_copied(self, now, ref, store, accepted):
+        return self._effects(self.older.end_copied(now, ref, store, accepted))
+
+    def final_states_copied(self, now, store, refs, accepted):
+        return self._effects(self.older.filled(now, store, refs, accepted))
 
-    def theirs(given: Verdict) -> object:
-        return verdict(ran(given.ran.value), *given[1:])
+    def final_state_learned(self, now, ref, final_state):
+        return self._effects(self.older.end_told(now, ref, self._older_end(final_state)))
 
-    def ours(value: object) -> object:
-        kind = type(value).__name__
-        if kind == "Verdict":
-            return Verdict(Ran(value.ran.value), *value[1:])
-        if kind == "End":
-            return End(*value)
-        return value
+    def final_states_answered(self, now, store, number, known):
+        return self._effects(self.older.settled(now, store, number, wire(known)))
 
-    def said(effects: list) -> list:
-        return [getattr(messages, type(one).__name__)(*map(ours, one)) for one in effects]
+    def final_states_listed(self, now, store, number, refs, is_last):
+        return self._effects(self.older.ends_listed(now, store, number, refs, is_last))
 
-    class OlderView(view):
-        """Under the newer names too; an older store that ends waits only for its own work."""
+    def message_pulled(self, now, pulled, body):
+        return self._effects(self.older.part(now, wire(pulled), body))
 
-        live_stores = property(lambda self: self.huts)
-        spared = property(lambda self: list(self.huts))
+    def pull_answered(self, now, store, number, response):
+        return self._effects(self.older.pulled(now, store, number, wire(response)))
 
-    def theirs_of(given: object) -> OlderView:
-        return msgspec.convert(msgspec.to_builtins(given), OlderView)
+    def lookup_answered(self, now, store, ref, response):
+        return self._effects(self.older.sought(now, store, ref, wire(response)))
 
-    class Older(queue):
-        def delivered(self, now, ref, worker, given):
-            return said(super().delivered(now, ref, worker, theirs(given)))
+    def delivery_reported(self, now, sender, ref, shard, verdict):
+        return self._effects(self.older.late(now, sender, ref, shard, self._older_verdict(verdict)))
 
-        def see(self, now, given):
-            return said(super().see(now, theirs_of(given)))
+    def delivered(self, now, ref, worker, verdict):
+        return self._effects(self.older.delivered(now, ref, worker, self._older_verdict(verdict)))
 
-        @property
-        def view(self):
-            return self._view
+    def tick(self, now, unix):
+        return self._effects(self.older.tick(now, unix))
 
-        @view.setter
-        def view(self, given):
-            self._view = theirs_of(given)
+    def repair(self, now):
+        return self._effects(self.older.repair(now))
 
-        def counts_on_leaving(self):
-            """It does not tell whether all is safe without the stores that leave."""
-            return True
+    # Questions
 
-        def may_send(self, now, ref, worker):
-            """It does not look again before it sends."""
-            return True
+    def replica_offered(self, now, request, body):
+        return self.older.copy(now, "", wire(request), body)
 
-        def takes_late(self, shard):
-            """It answers yes whether or not it owns the shard."""
-            return True
+    def answer_pull(self, request):
+        word, found = self.older.pulled_by(0.0, request.shards, request.known, request.with_messages)
+        response = msgspec.convert(word | {"shards": request.shards}, PullResponse)
+        return response, [OlderMessage(one) for one in found]
 
-        def life(self, store):
-            """What the simulation asks of every queue, by the older one's own view."""
-            shown = self.view.huts.get(store)
-            return shown.birth if shown is not None else ""
+    def final_states_of(self, refs):
+        return msgspec.convert(self.older.settled_by(refs), dict[str, FinalState])
 
-        def ends_of(self, *given):
-            """An operation that the older one does not know: it says so, and counts as having none."""
-            return [], True
+    def status(self, ref):
+        state = self.older.status(ref)
+        return msgspec.convert(state, MessageState) if state is not None else None
 
-        def filled(self, now, store, refs, yes):
-            super().filled(store, yes)  # what it has to say comes with its next event
-            return []
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self.older, OLDER_NAMES.get(name, name))
 
-        def late(self, now, sender, ref, shard, given):
-            return said(super().late(now, sender, ref, shard, theirs(given)))
 
-    for name in (
-        "put",
-        "tick",
-        "kept",
-        "copied",
-        "end_copied",
-        "end_told",
-        "part",
-        "pulled",
-        "settled",
-    ):
-        setattr(Older, name, lambda self, *given, name=name: said(getattr(queue, name)(self, *given)))
-    for name in ("sought", "repair", "configure"):
-        setattr(Older, name, lambda self, *given, name=name: said(getattr(queue, name)(self, *given)))
-    return Older
+OLDER_NAMES = {
+    "replica_written": "copy_kept",
+    "drop_allowed": "dropped",
+    "result_reported": "told_late",
+    "accepts_results": "takes_late",
+    "list_final_states": "ends_of",
+    "incarnation_of": "life",
+    "holds_lease": "holds",
+    "is_busy": "busy",
+    "is_safe": "safe",
+}
 
 
 def shows_stores_of_the_landed_version_beside_new_ones_break_no_rule() -> None:
@@ -133,7 +308,8 @@
         if (found := landed(folder)) is None:
             print("no history: the landed version is not played")
             return
-        before = older(*found)
+        before = type("Before", (OlderQueue,), {"landed": found})
+        store_choice.Worker.line = property(lambda worker: worker.entry)  # its name in that version
         accepted = 0
         for seed in range(12):
             # Each store starts as one of the two, and as the other after each restart in some walks.
--- a/tests/record_leases.py
+++ b/tests/record_leases.py
@@ -4,7 +4,7 @@
 next knows from its voters when that can have been the last time (`earlier_leader_until`).
 """
 
-from sableford.control.coordinator import FRESH
+from sableford.control.timing import QUORUM_FRESH_MS
 from sableford.fleet.record.core import Record
 from sableford.fleet.record.effects import Held, Said, Store
 from sableford.fleet.record.walk import Walk, Wrong
@@ -26,7 +26,7 @@
         match effect:
             case Said("record_leader", facts) if facts["leader"] == name:
                 core = self.trial.cores[name]
-                self.believed[core.term] = core.earlier_leader_until + FRESH
+                self.believed[core.term] = core.earlier_leader_until + QUORUM_FRESH_MS
         self._look()
 
     def offer(self, name: str) -> None:
@@ -53,7 +53,7 @@
     def _look(self) -> None:
         for name, core in self.trial.cores.items():
             running = name not in self.trial.dead and name not in self.trial.stopped
-            if running and core.fresh(self.trial.now, FRESH):
+            if running and core.fresh(self.trial.now, QUORUM_FRESH_MS):
                 self.last_grant[core.term] = self.trial.now
         for term, until in self.believed.items():
             for earlier, at in self.last_grant.items():
--- a/tests/store_fences.py
+++ b/tests/store_fences.py
@@ -3,77 +3,90 @@
 from contextlib import suppress
 
 from sableford.control.view import SHARDS, StoreInfo, View
-from sableford.store.choice import Choice, Line
-from sableford.store.messages import Deliver, Drop, Effect, Pull, State
+from sableford.store.choice import Choice, WorkerEntry
+from sableford.store.messages import Deliver, DropReplica, Effect, Pull, State
+from sableford.store.protocol import MessageState, PullResponse, PutRequest
 from sableford.store.queue import Queue
 from sableford.store.simulation import DOC, Simulation, Wrong
 from sableford.transport.routes import Table
-from sableford.transport.verdict import Ran, Verdict
-
-HEAD = {"ref": "00-a", "shard": 0, "key": "", "id": "a", "host": "h", "target": "/b", "method": "POST"}
-HEAD |= {"delay": 0.0, "age": 0.0, "revision": 1}
-KNOWS = {"whole": True, "refs": ["00-a"], "out": [], "tries": {}}
-
-
-def view(count: int, owner: str, birth: str = "b1") -> View:
+from sableford.transport.verdict import Execution, Verdict
+
+PUT = PutRequest(
+    ref="00-a",
+    shard=0,
+    key="",
+    id="a",
+    host="h",
+    target="/b",
+    method="POST",
+    delay_ms=0.0,
+    age_ms=0.0,
+    revision=1,
+)
+KNOWS = PullResponse(True, ["00-a"], [], {})
+
+
+def view(count: int, owner: str, incarnation: str = "b1") -> View:
     """All shards are one store's, since this view."""
-    births = {"s0": "b0", "s1": birth}
-    stores = {name: StoreInfo(life, f"z{name}") for name, life in births.items()}
-    return View((1, count), [owner] * SHARDS, [births[owner]] * SHARDS, [(1, count)] * SHARDS, stores)
+    incarnations = {"s0": "b0", "s1": incarnation}
+    stores = {name: StoreInfo(life, f"z{name}") for name, life in incarnations.items()}
+    return View((1, count), [owner] * SHARDS, [incarnations[owner]] * SHARDS, [(1, count)] * SHARDS, stores)
 
 
 def takes_over(queue: Queue, now: float, count: int) -> list[Effect]:
     """s0 becomes the owner, and s1 tells what it holds."""
-    asked = [effect for effect in queue.see(now, view(count, "s0")) if isinstance(effect, Pull)]
-    told = [effect for pull in asked for effect in queue.pulled(now, "s1", pull.round, KNOWS)]
-    settles = [effect for effect in told if type(effect).__name__ == "Settle"]
-    return told + [effect for one in settles for effect in queue.settled(now, "s1", one.round, {})]
+    asked = [effect for effect in queue.apply_view(now, view(count, "s0")) if isinstance(effect, Pull)]
+    told = [effect for pull in asked for effect in queue.pull_answered(now, "s1", pull.round, KNOWS)]
+    settles = [effect for effect in told if type(effect).__name__ == "AskFinalStates"]
+    return told + [
+        effect for one in settles for effect in queue.final_states_answered(now, "s1", one.round, {})
+    ]
 
 
 def with_a_message_out() -> Queue:
     """s0 owns all, and has sent one message to a worker."""
     queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
-    queue.choice.put(0.0, Line("w", "a", "10.0.0.9", 80, "z0", 2, True), 0.0)
-    queue.lease = 1e9
+    queue.choice.put(0.0, WorkerEntry("w", "a", "10.0.0.9", 80, "z0", 2, True), 0.0)
+    queue.state.lease = 1e9
     takes_over(queue, 0.0, 1)
-    queue.put(0.0, HEAD, b"x", "edge")
-    queue.kept(0.0, "m", "00-a")
-    sent = queue.copied(0.0, "00-a", "s1", True)
+    queue.put(0.0, PUT, b"x", "edge")
+    queue.message_written(0.0, "00-a")
+    sent = queue.message_copied(0.0, "00-a", "s1", True)
     assert [effect.ref for effect in sent if isinstance(effect, Deliver)] == ["00-a"]
     return queue
 
 
 def shows_a_message_still_at_a_worker_is_not_sent_again_when_its_shard_comes_back() -> None:
     queue = with_a_message_out()
-    queue.see(10.0, view(2, "s1"))
+    queue.apply_view(10.0, view(2, "s1"))
     told = takes_over(queue, 20.0, 3)
     for now in range(30, 900, 15):
         told += queue.tick(float(now), 0.0)
     assert not [effect for effect in told if isinstance(effect, Deliver)]
-    assert queue.held["00-a"].state is State.AWAY
-    queue.delivered(900.0, "00-a", "w", Verdict(Ran.DONE, "", "seal"))
-    assert queue.status("00-a") == {"phase": "complete", "seal": "seal"}
+    assert queue.state.messages["00-a"].state is State.IN_FLIGHT_ELSEWHERE
+    queue.delivered(900.0, "00-a", "w", Verdict(Execution.DONE, "", "seal"))
+    assert queue.status("00-a") == MessageState("complete", "seal")
 
 
 def shows_a_store_that_does_not_own_a_shard_yet_is_told_again_how_a_delivery_ended() -> None:
     queue = with_a_message_out()
-    assert queue.takes_late(0)
-    queue.see(10.0, view(2, "s1"))
-    assert not queue.takes_late(0)
+    assert queue.accepts_results(0)
+    queue.apply_view(10.0, view(2, "s1"))
+    assert not queue.accepts_results(0)
 
 
 def shows_a_store_whose_lease_is_over_lets_nobody_drop_a_copy() -> None:
     queue = with_a_message_out()
-    compared = KNOWS | {"refs": ["00-unknown"]}
+    compared = PullResponse(True, ["00-unknown"], [], {})
     back = view(1, "s0", "b2")
     back.number = (1, 2)  # s0 owns all as before; s1 is back and is compared
-    pulls = [one for one in queue.see(10.0, back) if isinstance(one, Pull)]
-    again = queue.pulled(20.0, "s1", pulls[0].round, compared)
-    assert [effect.ref for effect in again if isinstance(effect, Drop)] == ["00-unknown"]
-    queue._compare("s1")
-    queue.lease = 100.0
-    late = queue.pulled(2000.0, "s1", 0, compared)
-    assert not [effect for effect in late if isinstance(effect, Drop)]
+    pulls = [one for one in queue.apply_view(10.0, back) if isinstance(one, Pull)]
+    again = queue.pull_answered(20.0, "s1", pulls[0].round, compared)
+    assert [effect.ref for effect in again if isinstance(effect, DropReplica)] == ["00-unknown"]
+    queue._takeover.compare("s1")
+    queue.state.lease = 100.0
+    late = queue.pull_answered(2000.0, "s1", 0, compared)
+    assert not [effect for effect in late if isinstance(effect, DropReplica)]
 
 
 def shows_what_an_earlier_life_of_a_store_answered_counts_for_nothing() -> None:
@@ -84,7 +97,7 @@
     def ask() -> None:
         walk._ask("s0", "s1", lambda other, reply: reply(True), got.append)
         other_life = {name: StoreInfo("later", "z") for name in walk.stores}
-        owner.queue.view = View(owner.queue.view.number, live_stores=other_life)
+        owner.queue.state.view = View(owner.queue.state.view.number, live_stores=other_life)
 
     walk.later(3000.0, ask)
     walk.later(3010.0, setattr, walk, "_events", [])
--- a/tests/store_full_disk.py
+++ b/tests/store_full_disk.py
@@ -4,10 +4,13 @@
 import tempfile
 from pathlib import Path
 
+from msgspec.structs import replace
+
+from sableford.common.disk import Disk, DiskFullError
 from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.store.choice import Choice
-from sableford.store.disk import Disk, Full
-from sableford.store.messages import End, Fill, ListEnds
+from sableford.store.messages import CopyFinalStates, ListFinalStates
+from sableford.store.protocol import FinalState, PullResponse
 from sableford.store.queue import Queue
 from sableford.store.simulation import DOC, Simulation
 from sableford.transport.routes import Table
@@ -18,14 +21,14 @@
     walk = Simulation(5, 0, stores=4)
     if ignored:
         renewed = walk.coordinator.renewed
-        walk.coordinator.renewed = lambda now, name, said: renewed(now, name, said | {"full": False})
+        walk.coordinator.renewed = lambda now, name, request: renewed(now, name, replace(request, full=False))
     store, owned = walk.stores["s1"], []
 
     def fills() -> None:
         store.full = 7000.0
 
     for at in (3900.0, 5000.0, 8500.0):
-        walk.later(at, lambda: owned.append(len(store.queue.owned)))
+        walk.later(at, lambda: owned.append(len(store.queue.state.owned)))
     walk.later(4000.0, fills)
     walk.play()
     return owned
@@ -48,7 +51,7 @@
             return [one if isinstance(one, BaseException) else None for one in await gather(puts)]
 
         refused = [problem for problem in await add(range(6000)) if problem is not None]
-        assert refused and all(isinstance(problem, Full) for problem in refused) and disk.full
+        assert refused and all(isinstance(problem, DiskFullError) for problem in refused) and disk.full
         await disk.write([(b"e1", b"end")])  # what ends still has room
         await disk.write([(b"m%06d" % at, None) for at in range(2000)])
         after = await add(range(6000, 6100))
@@ -64,21 +67,21 @@
 
 def shows_ends_that_a_full_store_refused_are_offered_again_a_second_later() -> None:
     queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
-    queue.lease = 1e9
+    queue.state.lease = 1e9
     live_stores = {"s0": StoreInfo("b0", "z0"), "s1": StoreInfo("b1", "z1")}
-    owners, births, epochs = ["s0"] * SHARDS, ["b0"] * SHARDS, [(1, 1)] * SHARDS
-    queue.ends["00-a"] = End("complete", "seal", "", 0.0)
-    pulls = queue.see(0.0, View((1, 1), owners, births, epochs, live_stores))
-    told = queue.pulled(0.0, "s1", pulls[0].round, {"whole": True, "refs": [], "out": [], "tries": {}})
-    listings = [one for one in told + queue.tick(50.0, 0.0) if isinstance(one, ListEnds)]
-    assert not queue.safe()
-    queue.ends_listed(60.0, "s1", listings[0].number, [], True)
+    owners, incarnations, epochs = ["s0"] * SHARDS, ["b0"] * SHARDS, [(1, 1)] * SHARDS
+    queue.state.final_states["00-a"] = FinalState("complete", "seal", "", 0.0)
+    pulls = queue.apply_view(0.0, View((1, 1), owners, incarnations, epochs, live_stores))
+    told = queue.pull_answered(0.0, "s1", pulls[0].round, PullResponse(True, [], [], {}))
+    listings = [one for one in told + queue.tick(50.0, 0.0) if isinstance(one, ListFinalStates)]
+    assert not queue.is_safe()
+    queue.final_states_listed(60.0, "s1", listings[0].round, [], True)
     offered = []
     for now in range(100, 1600, 15):
         told = queue.tick(float(now), 0.0) + queue.repair(float(now))
         for one in told:
-            if isinstance(one, Fill):
+            if isinstance(one, CopyFinalStates):
                 offered.append(now)
-                queue.filled(float(now), "s1", one.refs, len(offered) > 1)
+                queue.final_states_copied(float(now), "s1", one.refs, len(offered) > 1)
     assert len(offered) == 2 and offered[1] - offered[0] >= 1000, offered
-    assert queue.safe()
+    assert queue.is_safe()
--- a/tests/store_losses.py
+++ b/tests/store_losses.py
@@ -6,8 +6,11 @@
 
 from sableford.control.view import SHARDS
 from sableford.store.durability import Tolerated, Topology, is_durable, loss_is_borne
+from sableford.store.final_state_replication import FinalStateReplication
 from sableford.store.queue import Queue
+from sableford.store.replica_placement import ReplicaPlacement
 from sableford.store.simulation import Simulation, Wrong
+from tests.order import with_parts
 
 
 def first_fault(make: type[Queue], seeds: range, **walk) -> tuple[str, int]:
@@ -23,16 +26,19 @@
 GONE = {"faults": 12, "kinds": ("gone",), "stores": 5, "seconds": 16.0}
 
 
-class CopiesEndsOnce(Queue):
-    """Does not copy an end again when one of its disks goes for good."""
+class CopiesOnce(FinalStateReplication):
+    """Does not copy a final state again when one of its disks goes for good."""
 
-    def _ends_short(self, expected):
+    def short_of_copies(self, expected):
         return []
 
-    def ends_safe(self):
+    def is_safe(self):
         return True
 
 
+CopiesEndsOnce = with_parts(final_states=CopiesOnce)
+
+
 def shows_how_messages_ended_outlives_two_stores_gone_for_good_one_after_the_other() -> None:
     assert first_fault(Queue, range(4), **GONE) == ("", -1)
 
@@ -45,18 +51,23 @@
 ZONES = {"faults": 12, "stores": 6, "seconds": 16.0, "places": "aabbcc", "zones": 1, "delay_ms": 6000.0}
 
 
-class ForgetsZones(Queue):
+class AnyZone(ReplicaPlacement):
     """Copies anywhere and opens a shard without any lost zone: the rule of where copies lie is left out."""
 
-    def _is_enough(self, holders):
-        return len(holders) > self.losses
+    def is_enough(self, holders):
+        self._update()
+        return len(holders) > self.tolerated.machines
 
 
-class WaitsForMachines(Queue):
+class SingleMachines(ReplicaPlacement):
     """Opens a shard only when no more single machines are missing than may be lost."""
 
-    def _can_open(self, told):
-        return len({*self.view.roster}.difference(told, self.view.spared)) <= self.losses
+    def can_open(self, answered):
+        view = self._state.view
+        return len({*view.roster}.difference(answered, view.spared)) <= self.tolerated.machines
+
+
+ForgetsZones, WaitsForMachines = with_parts(placement=AnyZone), with_parts(placement=SingleMachines)
 
 
 def shows_the_loss_of_a_whole_zone_is_borne_where_the_settings_name_it() -> None:
@@ -136,13 +147,17 @@
 }
 
 
-class CountsLeaving(Queue):
+class LeavingStoresCount(ReplicaPlacement):
     """Counts copies on a store that is leaving, and lets it go with them."""
 
-    def lasting(self):
-        super().lasting()
-        self._lasting = {name for name, one in self.view.live_stores.items() if not one.retiring}
-        return self._lasting
+    def counted_stores(self):
+        super().counted_stores()
+        stores = self._state.view.live_stores
+        self._counted = {name for name, one in stores.items() if not one.retiring}
+        return self._counted
+
+
+CountsLeaving = with_parts(placement=LeavingStoresCount)
 
 
 def shows_a_replaced_store_leaves_nothing_that_a_loss_right_after_can_take() -> None:
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -10,31 +10,42 @@
 
 import lmdb
 import orjson
-
-from sableford.control.coordinator import FRESH, Coordinator, News
+from msgspec.structs import replace
+
+from sableford.common.disk import Disk
+from sableford.common.log import Log
+from sableford.common.log_writer import LogWriter
+from sableford.common.settings import SettingsError, parse
+from sableford.control.coordinator import Coordinator
+from sableford.control.effects import SendUpdate
 from sableford.control.member_client import MemberClient
+from sableford.control.protocol import JoinRequest, JoinResponse, RenewRequest
 from sableford.control.record_storage import RecordStorage
+from sableford.control.timing import QUORUM_FRESH_MS
 from sableford.control.view import SHARDS, StoreInfo, View, shares
 from sableford.fleet.record.core import Add, Cut, Held, Meta, Record, Send, Standing, Store, Whole, put
 from sableford.fleet.record.words import Entry
-from sableford.net.log import Aside
 from sableford.node.cli import main
-from sableford.node.log import Log
-from sableford.node.settings import SettingsError, parse
-from sableford.store.choice import Choice
-from sableford.store.choice import Line as WorkerLine
-from sableford.store.delivery import judge, request_of
-from sableford.store.disk import Disk
-from sableford.store.messages import Copy, Deliver, Keep
-from sableford.store.messages import Reply as Replied
-from sableford.store.queue import Queue
+from sableford.store.choice import Choice, WorkerEntry
+from sableford.store.delivery import request_of, verdict_of
+from sableford.store.delivery_results import DeliveryResults
+from sableford.store.message_replication import MessageReplication
+from sableford.store.messages import CopyMessage, Deliver, RespondToPut, WriteMessage
+from sableford.store.protocol import ISOLATED, PutRequest, PutResponse
+from sableford.store.queue import Queue, QueueParts
+from sableford.store.queue_state import QueueState
+from sableford.store.replica_placement import ReplicaPlacement
+from sableford.store.shard_takeover import ShardTakeover
 from sableford.store.simulation import DOC, Simulation, Wrong
-from sableford.transport.frames import Frames, frame
+from sableford.transport.frames import FrameReader, encode_frame
 from sableford.transport.http import Answer, Bounds
 from sableford.transport.http_client import ClientConnection, Response
 from sableford.transport.http_server import HttpServer, ServerConnection
+from sableford.transport.link import Response as PeerReply
 from sableford.transport.routes import Table
-from sableford.transport.verdict import Ran, Verdict
+from sableford.transport.verdict import Execution, Verdict
+from tests.control_member import STATUS
+from tests.order import SendsOutOfTurn, with_parts
 
 # Walks and planted mistakes
 
@@ -47,54 +58,59 @@
     assert moves > 500 and accepted > 10_000, (moves, accepted)
 
 
-class Alone(Queue):
+class OwnDiskSuffices(ReplicaPlacement):
     """Says kept once the own disk has it."""
 
-    def _safe(self, message):
+    def is_safe(self, message):
         return message.synced
 
-    def _copy(self, now, message): ...
+
+class CopiesNothing(MessageReplication):
+    def copy(self, now, message): ...
 
 
-class Timeless(Queue):
+class EndlessLease(QueueState):
     """Acts on a lease that has run out."""
 
-    def holds(self, now):
+    def holds_lease(self, now):
         return True
 
 
-class Jumpy(Queue):
-    """Sends whatever is due, whose turn it is or not."""
+class OpensAtOnce(ShardTakeover):
+    """Serves a shard before those who may know of its messages have told."""
 
-    def _first(self, message):
-        return True
+    def check(self, now, takeover):
+        if takeover.awaiting_final_states is None and takeover.shards:
+            takeover.awaiting_final_states = set()
+            self.open(now, takeover)
 
 
-class Forgetful(Queue):
-    """Serves a shard before those who may know of its messages have told."""
+class NeverReports(DeliveryResults):
+    def report(self, now):
+        for ref in list(self._unreported):
+            self.reported(ref)
+
 
-    def _gather(self, now, collect):
-        if collect.settling is None and collect.shards:
-            collect.settling = set()
-            self._open(now, collect)
+Alone = with_parts(placement=OwnDiskSuffices, replication=CopiesNothing)
+Timeless = with_parts(state=EndlessLease)
+Jumpy = with_parts(order=SendsOutOfTurn)
+Forgetful = with_parts(takeover=OpensAtOnce)
 
 
 class Careless(Queue):
     """Does not tell the new owner what was still out."""
 
-    def pulled_by(self, now, shards, have, parts):
-        word, messages = super().pulled_by(now, shards, have, parts)
-        return word | {"out": []}, messages
+    def answer_pull(self, request):
+        response, messages = super().answer_pull(request)
+        return replace(response, in_flight=[]), messages
 
 
 class Deaf(Queue):
     """Forgets an end that it alone knows once the shard is another's."""
 
-    def _send_late(self, now):
-        for ref in list(self._late):
-            self.told_late(ref)
+    parts = QueueParts(results=NeverReports)
 
-    def settled_by(self, refs):
+    def final_states_of(self, refs):
         return {}
 
 
@@ -116,7 +132,7 @@
         (Careless, ("term",), {"TWICE", "ORDER"}),
         (Deaf, ("term", "kill"), {"TWICE", "ORDER"}),
     ):
-        assert found(make, kinds) in rules, make.__name__
+        assert found(make, kinds) in rules, (make.__name__, make.parts)
 
 
 # Choosing
@@ -124,48 +140,51 @@
 
 def shows_a_worker_taken_for_full_by_hearsay_is_asked_after_and_used() -> None:
     choice = Choice("z", "seed")
-    lines = [WorkerLine(f"w{at}", "b", "10.0.0.1", 80, "z", 2, True) for at in range(2)]
+    lines = [WorkerEntry(f"w{at}", "b", "10.0.0.1", 80, "z", 2, True) for at in range(2)]
     choice.put(0.0, lines[0], 0.0)
     choice.told(0.0, "other", {"w0": 2})
     choice.put(0.0, lines[1], 0.0)  # begins at the others' mean, which is full
     assert choice.choose(10.0, "b") is None and "w1" in choice.stale
     choice.told(20.0, "other", {"w1": 0})
-    assert choice.choose(30.0, "b").line.id == "w1"
+    assert choice.choose(30.0, "b").entry.id == "w1"
 
 
-HEAD = {"ref": "00-a", "shard": 0, "key": "", "id": "a", "host": "h", "target": "/a", "method": "POST"}
-HEAD |= {"delay": 0.0, "age": 0.0, "revision": 1}
+PUT = PutRequest(
+    ref="00-a",
+    shard=0,
+    key="",
+    id="a",
+    host="h",
+    target="/a",
+    method="POST",
+    delay_ms=0.0,
+    age_ms=0.0,
+    revision=1,
+)
 
 
 def shows_a_store_that_speaks_to_too_few_others_takes_nothing_new() -> None:
     queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
-    queue.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
-    queue.owned, queue.lease = {0: (1, 1)}, 1e9
-    queue.quiet = {"s1", "s2"}
-    assert queue.put(0.0, HEAD, b"x", "edge") == [Replied("edge", {"no": "alone"})] and not queue.held
-    queue.quiet = {"s1"}
-    told = queue.put(0.0, HEAD, b"x", "edge")
-    assert [type(one) for one in told] == [Keep, Copy] and told[1].to == "s2"
+    queue.state.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
+    queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
+    queue.state.unresponsive = {"s1", "s2"}
+    assert queue.put(0.0, PUT, b"x", "edge") == [RespondToPut("edge", PutResponse(refusal=ISOLATED))]
+    assert not queue.state.messages
+    queue.state.unresponsive = {"s1"}
+    told = queue.put(0.0, PUT, b"x", "edge")
+    assert [type(one) for one in told] == [WriteMessage, CopyMessage] and told[1].to == "s2"
 
 
 def shows_copies_go_to_another_zone_once_and_then_near() -> None:
     def copies(losses: int, zones: int, quiet: tuple[str, ...] = ()) -> list[str]:
         queue = Queue("s0", "b0", losses, Table(1, DOC), Choice("z0", "s0"), 600.0, True, zones)
         places = {"s0": "z0", "s1": "z0", "s2": "z0", "s3": "z1", "s4": "z2"}
-        queue.view = View((1, 1), live_stores={name: StoreInfo("b", zone) for name, zone in places.items()})
-        queue.owned, queue.lease, queue.quiet = {0: (1, 1)}, 1e9, set(quiet)
-        head = {
-            "ref": "00-a",
-            "shard": 0,
-            "key": "",
-            "id": "a",
-            "host": "h",
-            "target": "/a",
-            "method": "POST",
-        }
-        head |= {"delay": 0.0, "age": 0.0, "revision": 1}
-        told = queue.put(0.0, HEAD, b"x", "edge")
-        return [one.to for one in told if isinstance(one, Copy)]
+        queue.state.view = View(
+            (1, 1), live_stores={name: StoreInfo("b", zone) for name, zone in places.items()}
+        )
+        queue.state.owned, queue.state.lease, queue.state.unresponsive = {0: (1, 1)}, 1e9, set(quiet)
+        told = queue.put(0.0, PUT, b"x", "edge")
+        return [one.to for one in told if isinstance(one, CopyMessage)]
 
     assert copies(1, 0) == ["s3"] and copies(2, 0) == ["s3", "s1"]
     assert copies(2, 0, ("s3",)) == ["s4", "s1"] and copies(2, 0, ("s1", "s2")) == ["s3", "s4"]
@@ -175,8 +194,8 @@
 def at_one_address(rate: float) -> Queue:
     """A store of three, with a service at one address that bears a rate, and its shard 0."""
     queue = Queue("s0", "b0", 0, Table(), Choice("z0", "s0"), 600.0, True)
-    queue.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
-    queue.owned, queue.lease = {0: (1, 1)}, 1e9
+    queue.state.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
+    queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
     service = {"name": "a", "endpoint": "10.0.0.9:80", "maxConns": 50, "ratePerS": rate}
     queue.configure(0.0, Table(2, DOC | {"backends": [service]}))
     return queue
@@ -187,17 +206,17 @@
     for step in range(2000):
         now = 15.0 * step
         told = []
-        if step % 10 == 0 and len(queue.held) < 300:  # more than it may be sent, all the time
+        if step % 10 == 0 and len(queue.state.messages) < 300:  # more than it may be sent, all the time
             ref = f"00-{next(names)}"
-            told += queue.put(now, HEAD | {"ref": ref, "target": "/b"}, b"x", "edge")
-            told += queue.kept(now, "m", ref)
+            told += queue.put(now, replace(PUT, ref=ref, target="/b"), b"x", "edge")
+            told += queue.message_written(now, ref)
         told += queue.tick(now, now)
         for one in told:
             if isinstance(one, Deliver):
                 assert one.worker == "@a"
                 sent.append(now)
-                queue.delivered(now, one.ref, one.worker, Verdict(Ran.DONE, "", "seal"))
-                queue.kept(now, "e", one.ref)
+                queue.delivered(now, one.ref, one.worker, Verdict(Execution.DONE, "", "seal"))
+                queue.final_state_written(now, one.ref)
     most = max(sum(at <= other < at + 5000.0 for other in sent) for at in sent)
     assert 3 * most <= 10.0 * 5.0 * 1.1 + 5.0, most
     assert len(sent) > 0.9 * 10.0 / 3.0 * 30.0, len(sent)
@@ -207,25 +226,25 @@
     queue = at_one_address(0.0)
     out = []
     for at in range(40):
-        told = queue.put(0.0, HEAD | {"ref": f"00-{at}", "target": "/b"}, b"x", "edge")
-        told += queue.kept(0.0, "m", f"00-{at}")
+        told = queue.put(0.0, replace(PUT, ref=f"00-{at}", target="/b"), b"x", "edge")
+        told += queue.message_written(0.0, f"00-{at}")
         out += [one for one in told if isinstance(one, Deliver)]
     assert len(out) == 4  # nothing tells its size: it begins with few
-    line = queue.choice.workers["@a"].line
-    text = request_of(queue.held[out[0].ref], b"x", line, 900.0)
-    assert (line.host, line.port) == ("10.0.0.9", 80) and b"Target-Instance" not in text
+    entry = queue.choice.workers["@a"].entry
+    text = request_of(queue.state.messages[out[0].ref], b"x", entry, 900.0)
+    assert (entry.host, entry.port) == ("10.0.0.9", 80) and b"Target-Instance" not in text
     for now in range(1, 400):
         done, out = out, []
         for one in done:
             turned = len(done) > 12  # it has twelve places
-            verdict = Verdict(Ran.NOT_RUN, "full") if turned else Verdict(Ran.DONE, "", "seal")
+            verdict = Verdict(Execution.NOT_RUN, "full") if turned else Verdict(Execution.DONE, "", "seal")
             told = queue.delivered(200.0 * now, one.ref, "@a", verdict)
-            told += queue.kept(200.0 * now, "e", one.ref)
+            told += queue.final_state_written(200.0 * now, one.ref)
             out += [one for one in told if isinstance(one, Deliver)]
         ref = f"00-more{now}"
         for at in range(20):
-            told = queue.put(200.0 * now, HEAD | {"ref": f"{ref}-{at}", "target": "/b"}, b"x", "edge")
-            told += queue.kept(200.0 * now, "m", f"{ref}-{at}")
+            told = queue.put(200.0 * now, replace(PUT, ref=f"{ref}-{at}", target="/b"), b"x", "edge")
+            told += queue.message_written(200.0 * now, f"{ref}-{at}")
             out += [one for one in told if isinstance(one, Deliver)]
     assert 6 <= queue.choice.workers["@a"].window <= 16, queue.choice.workers["@a"].window
 
@@ -246,43 +265,42 @@
 class Silence:
     """A log that says nothing."""
 
-    def say(self, event, **fields): ...
+    def event(self, name, /, **fields): ...
 
 
-class Lines:
-    """LinkPool to whoever is wanted, each answering as it is told to."""
+class Links:
+    """A pool of links to whoever is wanted, each answering as it is told to."""
 
-    def __init__(self, answers: dict[str, dict]) -> None:
+    def __init__(self, answers: dict[str, JoinResponse]) -> None:
         self.answers, self.wanted, self.asked = answers, set(), 0
 
-    def want(self, names):
+    def set_peers(self, names):
         self.wanted = names
 
     def names(self):
         return sorted(self.wanted)
 
-    def near(self, name):
-        return Line(self, name) if name in self.answers else None
+    def responsive_link(self, name):
+        return LinkTo(self, name) if name in self.answers else None
 
 
-class Line:
-    def __init__(self, lines: Lines, name: str) -> None:
-        self.lines, self.name = lines, name
+class LinkTo:
+    def __init__(self, links: Links, name: str) -> None:
+        self.links, self.name = links, name
 
-    async def ask(self, word):
-        self.lines.asked += 1
-        assert self.lines.asked < 20, "it goes round in circles"
-        return self.lines.answers[self.name], b""
+    async def request(self, message):
+        self.links.asked += 1
+        assert self.links.asked < 20, "it goes round in circles"
+        return PeerReply(self.links.answers[self.name])
 
 
 def shows_a_leader_that_no_seed_is_is_found_by_those_who_name_it() -> None:
     async def find() -> str:
-        passes = {"ok": False, "leader": "10.0.0.9"}
-        lines = Lines({"10.0.0.1": passes, "10.0.0.2": passes, "10.0.0.9": {"ok": True, "term": 3}})
-        member = MemberClient(
-            lines, "10.0.0.5", lambda: {"birth": "b"}, lambda: ["10.0.0.1", "10.0.0.2"], Silence()
-        )
-        await member._find()
+        passes, accepts = JoinResponse(False, leader="10.0.0.9"), JoinResponse(True, 3)
+        links = Links({"10.0.0.1": passes, "10.0.0.2": passes, "10.0.0.9": accepts})
+        seeds = ["10.0.0.1", "10.0.0.2"]
+        member = MemberClient(links, "10.0.0.5", lambda: STATUS, lambda: seeds, Silence())
+        await member.find_leader()
         return member.leader
 
     assert asyncio.run(find()) == "10.0.0.9"
@@ -362,16 +380,16 @@
 
 
 def shows_a_worker_s_answer_counts_by_what_it_proves() -> None:
-    def verdict(status: int, **head: bytes) -> Ran:
+    def execution(status: int, **head: bytes) -> Execution:
         given = {name.replace("_", "-").encode(): value for name, value in head.items()}
-        return judge(Response(status, {b"attempt-id": b"7"} | given), "7").ran
+        return verdict_of(Response(status, {b"attempt-id": b"7"} | given), "7").execution
 
-    assert verdict(200, server_seal=b"s") is Ran.DONE
-    assert verdict(200) is Ran.MAYBE
-    assert verdict(200, server_seal=b"s", attempt_id=b"8") is Ran.MAYBE
-    assert verdict(500) is Ran.FAILED and verdict(422) is Ran.NEVER
-    assert verdict(503) is Ran.MAYBE and verdict(503, not_run=b"full") is Ran.NOT_RUN
-    assert verdict(421) is Ran.NOT_RUN and verdict(504) is Ran.MAYBE
+    assert execution(200, server_seal=b"s") is Execution.DONE
+    assert execution(200) is Execution.UNKNOWN
+    assert execution(200, server_seal=b"s", attempt_id=b"8") is Execution.UNKNOWN
+    assert execution(500) is Execution.FAILED and execution(422) is Execution.IMPOSSIBLE
+    assert execution(503) is Execution.UNKNOWN and execution(503, not_run=b"full") is Execution.NOT_RUN
+    assert execution(421) is Execution.NOT_RUN and execution(504) is Execution.UNKNOWN
 
 
 def shows_an_answer_behind_another_lends_it_nothing_and_spoils_its_connection() -> None:
@@ -379,26 +397,27 @@
     other = b"HTTP/1.1 200 OK\r\nAttempt-Id: 6\r\nServer-Seal: s6\r\nContent-Length: 0\r\n\r\n"
     own = b"HTTP/1.1 500 No\r\nAttempt-Id: 7\r\nContent-Length: 2\r\n\r\nno"
 
-    async def ask(*parts: bytes) -> tuple[Ran, bool]:
+    async def ask(*parts: bytes) -> tuple[Execution, bool]:
         call, pipe = ClientConnection(), Pipe()
         call.connection_made(pipe)
         future = call.ask(b"POST")
         for part in parts:
             call.data_received(part)
-        return judge(await future, "7").ran, call.usable()
+        return verdict_of(await future, "7").execution, call.usable()
 
-    assert asyncio.run(ask(own)) == (Ran.FAILED, True)
-    assert asyncio.run(ask(other + own)) == (Ran.MAYBE, False)
-    assert asyncio.run(ask(own + other)) == (Ran.FAILED, False)
-    assert asyncio.run(ask(own, other)) == (Ran.FAILED, False)
+    assert asyncio.run(ask(own)) == (Execution.FAILED, True)
+    assert asyncio.run(ask(other + own)) == (Execution.UNKNOWN, False)
+    assert asyncio.run(ask(own + other)) == (Execution.FAILED, False)
+    assert asyncio.run(ask(own, other)) == (Execution.FAILED, False)
 
 
 def shows_frames_come_whole_however_they_are_cut() -> None:
-    text = frame({"op": "put"}, b"1:x,") + frame({"op": "ping"})
+    text = encode_frame(b'{"op":"put"}', b"1:x,") + encode_frame(b'{"op":"ping"}')
     for at in range(len(text)):
-        reader = Frames()
+        reader = FrameReader()
         got = reader.feed(text[:at]) + reader.feed(text[at:])
-        assert [head["op"] for head, _ in got] == ["put", "ping"] and got[0][1] == b"1:x,", at
+        assert [frame.envelope.operation for frame in got] == ["put", "ping"], at
+        assert got[0].body == b"1:x,", at
 
 
 # What lies on disk
@@ -475,15 +494,16 @@
     fleet = Voters("abc")
     assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().settled_voters()))
     leader = fleet.leader()
-    assert fleet.run(300.0, lambda: leader.fresh(fleet.now, FRESH))
+    assert fleet.run(300.0, lambda: leader.fresh(fleet.now, QUORUM_FRESH_MS))
     coordinator = Coordinator(1200.0)
-    coordinator.fresh = lambda now: leader.fresh(now, FRESH)
-    coordinator.lead(fleet.now, leader.term)
-    coordinator.enrol(fleet.now, ["a", "b"])
-    said = {"role": "store", "zone": "z", "node": "n"}
+    coordinator.majority_is_recent = lambda now: leader.fresh(now, QUORUM_FRESH_MS)
+    coordinator.become_leader(fleet.now, leader.term)
+    coordinator.roster_changed(fleet.now, ["a", "b"])
+    place = {"role": "store", "zone": "z", "node": "n"}
     for name in "ab":
-        coordinator.joined(fleet.now, name, said | {"birth": name})
-    assert coordinator.view.number != (0, 0) and coordinator.renewed(fleet.now, "a", {"birth": "a"})
+        coordinator.joined(fleet.now, name, JoinRequest(**place, incarnation=name, view=View()))
+    renewal = RenewRequest(**place, incarnation="a", update_number=0, term=leader.term)
+    assert coordinator.view.number != (0, 0) and coordinator.renewed(fleet.now, "a", renewal)
     number = coordinator.view.number
     fleet.deaf.add(leader.name)
     for _ in range(90):  # it hears nobody, and takes nobody for gone either
@@ -491,8 +511,8 @@
         if leader.leads:
             fleet.do(leader.name, leader.tick(fleet.now))
         told = coordinator.tick(fleet.now)
-        assert coordinator.view.number == number and not [one for one in told if isinstance(one, News)]
-    assert not coordinator.renewed(fleet.now, "a", {"birth": "a"})
+        assert coordinator.view.number == number and not [one for one in told if isinstance(one, SendUpdate)]
+    assert not coordinator.renewed(fleet.now, "a", renewal)
 
 
 def shows_voters_back_from_a_loss_of_power_lead_soon_though_one_has_lost_its_disk() -> None:
@@ -575,11 +595,11 @@
             try:
                 await disk.write([(b"m2", b"two")])
             except lmdb.PanicError:
-                disk._write_again_at = inf
+                disk._retry_at = inf
             else:
                 raise AssertionError("a refused write was told as kept")
         assert await disk.read(b"m1") == b"one"
-        disk._write_again_at = 0.0  # the pause is over
+        disk._retry_at = 0.0  # the pause is over
         await disk.write([(b"m3", b"three")])
         assert await disk.read(b"m3") == b"three" and await disk.read(b"m2") is None
         disk.close()
@@ -615,9 +635,9 @@
 
 def shows_a_log_that_nobody_reads_holds_nobody_up() -> None:
     reader, writer = os.pipe()
-    log = Log("store-1", Aside(writer))
+    log = Log("store-1", LogWriter(writer))
     for number in range(300):  # ten times what the pipe holds
-        log.say("order", number=number, why="x" * 2000)
+        log.event("order", number=number, why="x" * 2000)
     text = b""
     while text.count(b"\n") < 300:
         text += os.read(reader, 65_536)
