--- a/sableford/control/coordinator.py
+++ b/sableford/control/coordinator.py
@@ -15,15 +15,16 @@
 """
 
 from collections.abc import Callable, Iterable
-from typing import Any, NamedTuple
-
-import msgspec
+from typing import Any
 
 from sableford.control.departures import Departures
-from sableford.control.effects import AddStore, Effect, LogEvent, RemoveStore, SendUpdate, WaitEnded
+from sableford.control.effects import AddStore, Effect, LogEvent, RemoveStore, SendUpdate
+from sableford.control.members import Member
 from sableford.control.protocol import ConfigurationVersion, JoinRequest, RenewRequest, Update
-from sableford.control.timing import ABSENT_MS, APPLY_WAIT_MS, JOIN_WAIT_MS, LEASE_MS, QUORUM_FRESH_MS
-from sableford.control.view import SHARDS, Number, StoreInfo, View, shares
+from sableford.control.shard_assignment import ShardAssigner
+from sableford.control.timing import ABSENT_MS, JOIN_WAIT_MS, LEASE_MS, QUORUM_FRESH_MS
+from sableford.control.update_waits import UpdateWaits
+from sableford.control.view import Number, StoreInfo, View, shares
 from sableford.control.worker_registry import WorkerChange, WorkerListed, WorkerRegistry
 from sableford.control.workers import Worker
 
@@ -31,37 +32,6 @@
 STORES = ("store",)
 
 
-class Member(msgspec.Struct):
-    """A process under a lease."""
-
-    incarnation: str
-    role: str
-    zone: str
-    node: str
-    control: str
-    lease_until: float
-    sent: int = 0  # the last update sent to it
-    acknowledged: int = -1  # update 0 is the snapshot of a leader that has sent no other yet
-    leaving: bool = False
-    complete: bool = True
-    registered: bool = False  # it stands in the roster
-    empty: bool = False
-    audits: dict[str, str] = {}  # stores whose disk it has compared, by their incarnation
-    safe: Number = (0, 0)  # the newest view under which all messages of its shards had their replicas
-    safe_without_leaving: Number = (0, 0)  # the same, with nothing counted on stores that leave
-    full: bool = False  # its disk takes nothing more
-
-
-class _Wait(NamedTuple):
-    """Somebody waits until these members have applied an update."""
-
-    token: int
-    update_number: int
-    names: set[str]
-    until: float
-    after_old_leases: bool  # and until no store can hold a lease of an earlier leader
-
-
 class Coordinator:
     """Decides only while it `leads`. Names are inner hosts; times are ms of the leader's clock."""
 
@@ -80,14 +50,12 @@
         self.registry = WorkerRegistry(heartbeat_ms, self._broadcast_worker_change)
         self.config: ConfigurationVersion | None = None
         self.update_number = 0  # of the last update
-        # Shards that are nobody's: who must acknowledge which update before each is given to the next owner.
-        self._awaited_releases: dict[int, tuple[str, int]] = {}
+        self._shards = ShardAssigner()
         self._old_leases_ended = False
         self._old_leases_until = 0.0  # then no lease of an earlier leader runs any more
         self._ended: set[str] = set()  # stores proven to have ended since this lead began
-        self._waits: list[_Wait] = []
+        self._waits = UpdateWaits()
         self._newest_view: View | None = None  # of those that members have applied
-        self._last_token = 0
         self._changing: set[str] = set()  # stores that are being added to the roster or removed
         self._departures = Departures(absent_ms)
         self._zones: dict[str, str] = {}  # of stores that members have told of, also of those that are away
@@ -104,8 +72,10 @@
         self.leads, self.term, self._old_leases_ended = True, term, False
         earlier = now if earlier_leader_until is None else earlier_leader_until
         self._old_leases_until = max(now + JOIN_WAIT_MS, earlier + QUORUM_FRESH_MS + LEASE_MS)
-        self.members, self._ended, self._waits, self._newest_view = {}, set(), [], None
-        self.update_number, self._awaited_releases, self._changing = 0, {}, set()
+        self.members, self._ended, self._newest_view = {}, set(), None
+        self.update_number, self._changing = 0, set()
+        self._waits = UpdateWaits()
+        self._shards.begin(None, self.update_number + 1)
         self.registry.become_leader(now)
         return [LogEvent("core_leads", {"term": term})]
 
@@ -114,8 +84,8 @@
         if not self.leads:
             return []
         self.leads = False
-        effects: list[Effect] = [WaitEnded(wait.token, False) for wait in self._waits]
-        self._waits, self.members = [], {}
+        effects = self._waits.end_all()
+        self.members = {}
         return [*effects, LogEvent("core_leads_no_more", {"term": self.term})]
 
     def observe(self, view: View, workers: Iterable[Worker], now: float) -> None:
@@ -275,27 +245,12 @@
     ) -> tuple[int, list[Effect]]:
         """A token; WaitEnded comes once all present members of those roles have applied that update, and with
         `after_old_leases` once no store that is no member yet can hold a lease of an earlier leader."""
-        self._last_token += 1
         names = {name for name, member in self.members.items() if member.role in roles}
-        until = now + APPLY_WAIT_MS
-        self._waits.append(_Wait(self._last_token, update_number, names, until, after_old_leases))
-        return self._last_token, self._end_waits(now)
+        token = self._waits.add(now, update_number, names, after_old_leases)
+        return token, self._end_waits(now)
 
     def _end_waits(self, now: float) -> list[Effect]:
-        effects: list[Effect] = []
-        remaining = []
-        for wait in self._waits:
-            is_done = self._is_applied(wait) and (self._old_leases_ended or not wait.after_old_leases)
-            if is_done or now >= wait.until:
-                effects.append(WaitEnded(wait.token, is_done))
-            else:
-                remaining.append(wait)
-        self._waits = remaining
-        return effects
-
-    def _is_applied(self, wait: _Wait) -> bool:
-        members = [self.members[name] for name in wait.names if name in self.members]
-        return all(member.acknowledged >= wait.update_number for member in members)
+        return self._waits.end(now, self.members, self._old_leases_ended)
 
     # Updates
 
@@ -335,7 +290,11 @@
         if not self.majority_is_recent(now) or not self._may_assign(now):
             return []
         number = self._next_view_number()
-        assignment = self._assignment(number)
+        stores = {name: member for name, member in self.members.items() if member.role == "store"}
+        next_update = self.update_number + 1
+        assignment = self._shards.assign(
+            self.view, self.term, number, self._target_owners(), stores, next_update
+        )
         live_stores = self._live_stores()
         view, spared = self.view, self._departures.spared
         is_same = live_stores == view.live_stores and self.roster == view.roster and spared == view.spared
@@ -373,31 +332,6 @@
         term, count = self.view.number
         return (self.term, count + 1 if term == self.term else 1)
 
-    def _assignment(self, number: Number) -> "_Assignment":
-        """Who owns each shard next. A shard changes hands by way of a view in which it is nobody's."""
-        # One that was removed from the roster just as it came back may act on a shard still: it is asked to
-        # let go first.
-        lives = {name: member for name, member in self.members.items() if member.role == "store"}
-        targets = self._target_owners()
-        view = self.view
-        next_view = _Assignment(
-            list(view.owners), list(view.incarnations), list(view.epochs), view.number[0] != self.term
-        )
-        for shard in range(SHARDS):
-            owner, target = view.owners[shard], targets[shard]
-            if owner:
-                is_live = owner in lives and lives[owner].incarnation == view.incarnations[shard]
-                if is_live and owner == target:
-                    continue
-                next_view.release(shard)
-                if is_live:
-                    self._awaited_releases[shard] = owner, self.update_number + 1
-                    continue
-            if target and not self._is_held(shard, lives):
-                self._awaited_releases.pop(shard, None)
-                next_view.assign(shard, target, self.members[target].incarnation, number)
-        return next_view
-
     def _target_owners(self) -> list[str]:
         stores = {name: member for name, member in self.members.items() if self._is_registered_store(member)}
         able = sorted(
@@ -438,23 +372,10 @@
         newest = self.view
         if self._newest_view is not None and self._newest_view.number > newest.number:
             newest = self._newest_view
-        # Of a shard that was being moved the old owner may not have heard yet: all must have heard first.
-        next_update = self.update_number + 1
-        self._awaited_releases = {
-            shard: ("", next_update) for shard, owner in enumerate(newest.owners) if not owner
-        }
+        self._shards.begin(newest, self.update_number + 1)
         self.view = newest
         self._departures.see(now, newest, self.roster)
 
-    def _is_held(self, shard: int, lives: dict[str, Member]) -> bool:
-        """Whether someone may still act on a shard that is nobody's by the last view."""
-        if shard not in self._awaited_releases:
-            return False
-        name, update_number = self._awaited_releases[shard]
-        if name:
-            return name in lives and lives[name].acknowledged < update_number
-        return any(member.acknowledged < update_number for member in lives.values())
-
     def _is_complete(self, name: str) -> bool:
         """A store whose disk was lost counts once every owner has compared it and has its own messages
         safe."""
@@ -484,23 +405,6 @@
         return self.registry.left(now, id)
 
 
-class _Assignment(msgspec.Struct):
-    """The shards' owners in the next view."""
-
-    owners: list[str]
-    incarnations: list[str]
-    epochs: list[Number]
-    changed: bool
-
-    def release(self, shard: int) -> None:
-        self.owners[shard] = self.incarnations[shard] = ""
-        self.changed = True
-
-    def assign(self, shard: int, owner: str, incarnation: str, epoch: Number) -> None:
-        self.owners[shard], self.incarnations[shard], self.epochs[shard] = owner, incarnation, epoch
-        self.changed = True
-
-
 def _member_gone(member: Member, why: str) -> LogEvent:
     fields = {"member": member.node, "birth": member.incarnation, "why": why}
     return LogEvent("member_gone", fields)
--- /dev/null
+++ b/sableford/control/members.py
@@ -0,0 +1,26 @@
+"""A process under a lease, as the leader knows it."""
+
+import msgspec
+
+from sableford.control.view import Number
+
+
+class Member(msgspec.Struct):
+    """A process under a lease."""
+
+    incarnation: str
+    role: str
+    zone: str
+    node: str
+    control: str
+    lease_until: float
+    sent: int = 0  # the last update sent to it
+    acknowledged: int = -1  # update 0 is the snapshot of a leader that has sent no other yet
+    leaving: bool = False
+    complete: bool = True
+    registered: bool = False  # it stands in the roster
+    empty: bool = False
+    audits: dict[str, str] = {}  # stores whose disk it has compared, by their incarnation
+    safe: Number = (0, 0)  # the newest view under which all messages of its shards had their replicas
+    safe_without_leaving: Number = (0, 0)  # the same, with nothing counted on stores that leave
+    full: bool = False  # its disk takes nothing more
--- /dev/null
+++ b/sableford/control/shard_assignment.py
@@ -0,0 +1,83 @@
+"""Who owns each shard in the next view. No I/O.
+
+A shard changes hands by way of a view in which it is nobody's. It is given to the next owner once nobody
+can act on
+it any more: the old owner has acknowledged that view, or is gone.
+"""
+
+from typing import NamedTuple
+
+from sableford.control.members import Member
+from sableford.control.view import SHARDS, Number, View
+
+
+class Release(NamedTuple):
+    """Who must acknowledge which update before a shard is given away; no name stands for all stores."""
+
+    store: str
+    update_number: int
+
+
+class ShardAssignment(NamedTuple):
+    """Owners, their incarnations and the epochs of all shards, and whether they differ from the last
+    view's."""
+
+    owners: list[str]
+    incarnations: list[str]
+    epochs: list[Number]
+    changed: bool
+
+
+class ShardAssigner:
+    """Keeps in mind which releases are awaited."""
+
+    def __init__(self) -> None:
+        self._awaited: dict[int, Release] = {}  # by shard
+
+    def begin(self, view: View | None, next_update: int) -> None:
+        """A lead begins from this view. Of a shard that was being moved the old owner may not have heard yet:
+        all must have heard first."""
+        owners = view.owners if view is not None else []
+        self._awaited = {shard: Release("", next_update) for shard, owner in enumerate(owners) if not owner}
+
+    def assign(
+        self,
+        view: View,
+        term: int,
+        number: Number,
+        targets: list[str],
+        stores: dict[str, Member],
+        next_update: int,
+    ) -> ShardAssignment:
+        """The assignment of view `number`, towards `targets`. `stores`: all stores that are members, also one
+        that was removed from the roster just as it came back, since it may act on a shard still."""
+        owners, incarnations, epochs = list(view.owners), list(view.incarnations), list(view.epochs)
+        changed = view.number[0] != term
+        for shard in range(SHARDS):
+            owner, target = owners[shard], targets[shard]
+            if owner:
+                is_live = owner in stores and stores[owner].incarnation == incarnations[shard]
+                if is_live and owner == target:
+                    continue
+                owners[shard] = incarnations[shard] = ""
+                changed = True
+                if is_live:
+                    self._awaited[shard] = Release(owner, next_update)
+                    continue
+            if not target or self._is_held(shard, stores):
+                continue
+            self._awaited.pop(shard, None)
+            owners[shard], incarnations[shard] = target, stores[target].incarnation
+            epochs[shard] = number
+            changed = True
+        return ShardAssignment(owners, incarnations, epochs, changed)
+
+    def _is_held(self, shard: int, stores: dict[str, Member]) -> bool:
+        """Whether someone may still act on a shard that is nobody's by the last view."""
+        release = self._awaited.get(shard)
+        if release is None:
+            return False
+        if release.store:
+            store = stores.get(release.store)
+            return store is not None and store.acknowledged < release.update_number
+        return any(store.acknowledged < release.update_number for store in stores.values())
--- /dev/null
+++ b/sableford/control/update_waits.py
@@ -0,0 +1,55 @@
+"""Who waits until members have applied an update, and for how long. No I/O."""
+
+from typing import NamedTuple
+
+from sableford.control.effects import Effect, WaitEnded
+from sableford.control.members import Member
+from sableford.control.timing import APPLY_WAIT_MS
+
+
+class _Wait(NamedTuple):
+    """Somebody waits until these members have applied an update."""
+
+    token: int
+    update_number: int
+    names: set[str]
+    until: float
+    after_old_leases: bool  # and until no store can hold a lease of an earlier leader
+
+
+class UpdateWaits:
+    """Each wait ends with WaitEnded, in time or not. Times are ms of the leader's clock."""
+
+    def __init__(self) -> None:
+        self._waits: list[_Wait] = []
+        self._last_token = 0
+
+    def add(self, now: float, update_number: int, names: set[str], after_old_leases: bool) -> int:
+        """The token of a new wait."""
+        self._last_token += 1
+        until = now + APPLY_WAIT_MS
+        self._waits.append(_Wait(self._last_token, update_number, names, until, after_old_leases))
+        return self._last_token
+
+    def end(self, now: float, members: dict[str, Member], old_leases_ended: bool) -> list[Effect]:
+        """Those that are over by now. A member that has gone is waited for no more."""
+        effects: list[Effect] = []
+        remaining = []
+        for wait in self._waits:
+            is_done = _is_applied(wait, members) and (old_leases_ended or not wait.after_old_leases)
+            if is_done or now >= wait.until:
+                effects.append(WaitEnded(wait.token, is_done))
+            else:
+                remaining.append(wait)
+        self._waits = remaining
+        return effects
+
+    def end_all(self) -> list[Effect]:
+        """The lead is over."""
+        waits, self._waits = self._waits, []
+        return [WaitEnded(wait.token, False) for wait in waits]
+
+
+def _is_applied(wait: _Wait, members: dict[str, Member]) -> bool:
+    present = [members[name] for name in wait.names if name in members]
+    return all(member.acknowledged >= wait.update_number for member in present)
