--- a/sableford/consensus/constants.py
+++ b/sableford/consensus/constants.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from sableford.fleet.record.machine import WINDOW
+from sableford.consensus.state_machine import WINDOW
 
 # Leaders and elections
 
--- a/sableford/consensus/effects.py
+++ b/sableford/consensus/effects.py
@@ -3,8 +3,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from sableford.fleet.record.machine import Image
-from sableford.fleet.record.words import Entry, Words
+from sableford.consensus.messages import Entry, RaftMessage
+from sableford.consensus.state_machine import Snapshot
 
 
 class Standing(Enum):
@@ -12,27 +12,27 @@
 
     LEARNER = "not a voter"
     NEW = "waits for all voters to be new too"
-    HAILING = "asks the others how far it was"
-    SOUND = "votes"
-    MAIMED = "fetches what its disk lost"
-    STRANGER = "its folder was lost or set back; it comes back as a newcomer"
+    ASKING = "asks the others how far it was"
+    VOTING = "votes"
+    INCOMPLETE = "fetches what its disk lost"
+    REPLACED = "its folder was lost or set back; it comes back as a newcomer"
     NO_DISK = "its disk does not take what it must keep"
 
 
-VOTES = {Standing.SOUND}
+VOTES = {Standing.VOTING}
 
 
-ACKS = {Standing.SOUND, Standing.MAIMED, Standing.NEW, Standing.HAILING}  # what it holds it does hold
+ACKS = {Standing.VOTING, Standing.INCOMPLETE, Standing.NEW, Standing.ASKING}  # what it holds it does hold
 
 
-class Held(NamedTuple):
+class StoredState(NamedTuple):
     """What a folder held at the start. `lost` is what it must once have held beyond that: a term and an
     entry."""
 
     id: str
     term: int = 0
     vote: str = ""
-    image: Image | None = None
+    snapshot: Snapshot | None = None
     first: int = 1  # the index of the first entry, and the term of the one before it
     before: int = 0
     entries: tuple[Entry, ...] = ()
@@ -41,45 +41,45 @@
 
 class Send(NamedTuple):
     to: str
-    word: Words
+    word: RaftMessage
 
 
-class Store(NamedTuple):
+class Persist(NamedTuple):
     """To be on disk, in this order, before `stored(number)` is called."""
 
     number: int
-    deeds: tuple
+    writes: tuple
 
 
-class Meta(NamedTuple):
+class HardState(NamedTuple):
     term: int
     vote: str
 
 
-class Add(NamedTuple):
+class AppendToLog(NamedTuple):
     index: int
     entry: Entry
 
 
-class Cut(NamedTuple):
+class TruncateLog(NamedTuple):
     """Entries after `index` go."""
 
     index: int
 
 
-class Whole(NamedTuple):
+class ReplaceLog(NamedTuple):
     """Everything anew: another id, or a snapshot in place of what was there."""
 
     id: str
-    meta: Meta
-    image: Image | None
+    meta: HardState
+    snapshot: Snapshot | None
     first: int
     before: int
     entries: tuple[Entry, ...]
     lost: tuple[int, int] | None = None  # still, of an earlier start
 
 
-class Answer(NamedTuple):
+class ProposalResult(NamedTuple):
     """An offer made here has its end: where it stands, or why not."""
 
     number: int
@@ -88,7 +88,7 @@
     why: str
 
 
-class Settled(NamedTuple):
+class Committed(NamedTuple):
     """One more entry is in force here."""
 
     index: int
@@ -96,28 +96,28 @@
     held: bool
 
 
-class Restored(NamedTuple):
+class SnapshotInstalled(NamedTuple):
     """A snapshot was fetched: all that entries up to `index` add up to is in force here."""
 
     index: int
 
 
-class Said(NamedTuple):
+class LogEvent(NamedTuple):
     """For people."""
 
     event: str
     facts: dict
 
 
-Effect = Send | Store | Answer | Settled | Restored | Said
+Effect = Send | Persist | ProposalResult | Committed | SnapshotInstalled | LogEvent
 
 
-class Kept(NamedTuple):
+class Persisted(NamedTuple):
     last: int
     term: int
 
 
-class OwnVote(NamedTuple):
+class OwnVoteCounts(NamedTuple):
     """The own vote counts from here on."""
 
     term: int
--- a/sableford/consensus/elections.py
+++ b/sableford/consensus/elections.py
@@ -2,39 +2,39 @@
 Ongaro's dissertation, section 9.6).
 """
 
-from sableford.fleet.record.constants import ELECTION_TIMEOUT, HEARTBEAT, LEADERLESS
-from sableford.fleet.record.effects import VOTES, Effect, Meta, OwnVote, Said, Send
-from sableford.fleet.record.state import Follower, RecordState
-from sableford.fleet.record.words import Entry, Kind, Vote, Voted
+from sableford.consensus.constants import ELECTION_TIMEOUT, HEARTBEAT, LEADERLESS
+from sableford.consensus.effects import VOTES, Effect, HardState, LogEvent, OwnVoteCounts, Send
+from sableford.consensus.messages import Entry, Kind, VoteRequest, VoteResponse
+from sableford.consensus.raft_state import Follower, RaftState
 
 
-class Elections(RecordState):
+class Elections(RaftState):
     """Who leads."""
 
     def over(self, now: float, name: str) -> None:
         """Proof that the process of that name has ended: nothing is gained by waiting for it as a leader."""
         if name == self.leader and not self.leads:
             self.leader, self._led_at = "", -1e12
-            self._due_at = min(self._due_at, now + HEARTBEAT * self._draw.random())
+            self._due_at = min(self._due_at, now + HEARTBEAT * self._random.random())
             self.due = min(self.due, self._due_at)
 
     def _leaderless(self, now: float) -> bool:
         """Whether it may have been left behind: the others may agree on things without it."""
         return not self.leader and now - self._led_at >= LEADERLESS
 
-    def _stand(self, now: float) -> list[Effect]:
+    def _start_election(self, now: float) -> list[Effect]:
         """Asked first, so that nobody's term grows by one that could not win."""
-        self._due_at = self._election(now)
-        if not self.bound() and len(self._hails) + 1 < len(self._names):
+        self._due_at = self._election_deadline(now)
+        if not self.knows_voter_ids() and len(self._startup_answers) + 1 < len(self._names):
             return []  # who leads first names all voters' folders
-        self._pre, self._stood, self.leader = True, {self.name: True}, ""
-        word = Vote(self.id, self.term + 1, self.last, self.term_at(self.last), True)
-        return self._ask(word) or self._count(now)
+        self._pre, self._votes, self.leader = True, {self.name: True}, ""
+        word = VoteRequest(self.id, self.term + 1, self.last, self.term_at(self.last), True)
+        return self._request_votes(word) or self._count_votes(now)
 
-    def _ask(self, word: Vote) -> list[Effect]:
+    def _request_votes(self, word: VoteRequest) -> list[Effect]:
         return [Send(name, word) for name in self._voters if name != self.name]
 
-    def _asked(self, now: float, sender: str, word: Vote) -> list[Effect]:
+    def _handle_vote_request(self, now: float, sender: str, word: VoteRequest) -> list[Effect]:
         if self.standing not in VOTES or not self._is_voter(sender, word.id):
             return []
         if not self._is_voter(self.name, self.id):
@@ -44,85 +44,87 @@
         new = (word.last_term, word.last) >= (self.term_at(self.last), self.last)
         if word.pre:
             yes = word.term > self.term and new and not led
-            return [Send(sender, Voted(self.id, word.term if yes else self.term, yes, True))]
+            return [Send(sender, VoteResponse(self.id, word.term if yes else self.term, yes, True))]
         out: list[Effect] = []
         if led and word.term > self.term:
-            return [Send(sender, Voted(self.id, self.term, False, False))]
+            return [Send(sender, VoteResponse(self.id, self.term, False, False))]
         if word.term > self.term:
-            out += self._follow(now, word.term, "")
-        self._note(sender, word.id, word.term, 0)  # it keeps a term before it asks for votes in it
+            out += self._become_follower(now, word.term, "")
+        self._note_progress(sender, word.id, word.term, 0)  # it keeps a term before it asks for votes in it
         yes = word.term == self.term and new and self.vote in ("", sender)
         if yes:
             self.vote = sender
-            self._due_at = self._election(now)
-        answer = Send(sender, Voted(self.id, self.term, yes, False, self._quiet_ms(now)))
-        return out + self._keep(Meta(self.term, self.vote), then=[answer]) if yes else [*out, answer]
+            self._due_at = self._election_deadline(now)
+        answer = Send(sender, VoteResponse(self.id, self.term, yes, False, self._unsupported_ms(now)))
+        return out + self._persist(HardState(self.term, self.vote), then=[answer]) if yes else [*out, answer]
 
-    def _counted(self, now: float, sender: str, word: Voted) -> list[Effect]:
+    def _handle_vote_response(self, now: float, sender: str, word: VoteResponse) -> list[Effect]:
         if not self._is_voter(sender, word.id):
             return []
         if word.yes and not word.pre:
-            self._note(sender, word.id, word.term, 0)
+            self._note_progress(sender, word.id, word.term, 0)
             self._support[sender] = now - word.quiet_ms
         if word.term > self.term + (word.pre and word.yes):
-            return self._follow(now, word.term, "")
-        if self.leads or not self._stood or word.pre != self._pre:
+            return self._become_follower(now, word.term, "")
+        if self.leads or not self._votes or word.pre != self._pre:
             return []
         if word.term != self.term + word.pre and word.yes:
             return []
-        self._stood[sender] = word.yes
-        return self._count(now)
+        self._votes[sender] = word.yes
+        return self._count_votes(now)
 
-    def _quiet_ms(self, now: float) -> float:
+    def _unsupported_ms(self, now: float) -> float:
         """For how long no leader can have counted on an answer of this process."""
         return 0.0 if self.leads else max(0.0, now - self._supported_at)
 
-    def _count(self, now: float) -> list[Effect]:
-        if not self._majority(name for name, yes in self._stood.items() if yes):
+    def _count_votes(self, now: float) -> list[Effect]:
+        if not self._majority(name for name, yes in self._votes.items() if yes):
             return []
         if self._pre:
             self._pre = False
             self.term, self.vote = self.term + 1, self.name
-            self._stood, self._support = {}, {}
-            self._due_at = self._election(now)
-            word = Vote(self.id, self.term, self.last, self.term_at(self.last), False)
+            self._votes, self._support = {}, {}
+            self._due_at = self._election_deadline(now)
+            word = VoteRequest(self.id, self.term, self.last, self.term_at(self.last), False)
             # Its own vote counts once it is kept, and is asked for others' no sooner.
-            return self._keep(Meta(self.term, self.name), then=[*self._ask(word), OwnVote(self.term)])
-        return self._win(now)
+            return self._persist(
+                HardState(self.term, self.name), then=[*self._request_votes(word), OwnVoteCounts(self.term)]
+            )
+        return self._become_leader(now)
 
-    def _win(self, now: float) -> list[Effect]:
+    def _become_leader(self, now: float) -> list[Effect]:
         # Of each majority that an earlier leader counted on, one at least has elected this one.
         voted = [
-            self._support.get(name, now) for name, yes in self._stood.items() if yes and name != self.name
+            self._support.get(name, now) for name, yes in self._votes.items() if yes and name != self.name
         ]
         self.earlier_leader_until = max([self._supported_at, *voted])
-        self.leads, self.leader, self._stood = True, self.name, {}
+        self.leads, self.leader, self._votes = True, self.name, {}
         self._followers = {name: Follower(self.last, now) for name in self._voters if name != self.name}
-        self._past.clear()
+        self._outgoing.clear()
         self._taken.clear()
         self._reads.clear()
-        out: list[Effect] = [Said("record_leader", {"leader": self.name, "term": self.term})]
-        out += self._enter(Entry(self.term, Kind.NOTHING))
-        if not self.bound():
-            ids = {name: hail.id for name, hail in self._hails.items()} | {self.name: self.id}
-            out += self._enter(self._named({name: ids[name] for name in self._voters}))
+        out: list[Effect] = [LogEvent("record_leader", {"leader": self.name, "term": self.term})]
+        out += self._append_own(Entry(self.term, Kind.NOTHING))
+        if not self.knows_voter_ids():
+            ids = {name: hail.id for name, hail in self._startup_answers.items()} | {self.name: self.id}
+            out += self._append_own(self._voters_entry({name: ids[name] for name in self._voters}))
         self._beat_at = now
-        return out + self._beat(now)
+        return out + self._send_heartbeats(now)
 
-    def _follow(self, now: float, term: int, leader: str) -> list[Effect]:
+    def _become_follower(self, now: float, term: int, leader: str) -> list[Effect]:
         """Another term, or a leader of this one."""
         out: list[Effect] = []
         if self.leads:
             self._supported_at = now
-            out.append(Said("record_leads_no_more", {"term": self.term, "newer": term}))
+            out.append(LogEvent("record_leads_no_more", {"term": self.term, "newer": term}))
             out += self._refuse_all("another leads")
         if leader and leader != self.leader:
-            out.append(Said("record_leader", {"leader": leader, "term": term}))
-        self.leads, self.leader, self._stood = False, leader, {}
+            out.append(LogEvent("record_leader", {"leader": leader, "term": term}))
+        self.leads, self.leader, self._votes = False, leader, {}
         if term > self.term:
             self.term, self.vote = term, ""
-            out += self._keep(Meta(term, ""))
-        self._due_at = self._election(now)
+            out += self._persist(HardState(term, ""))
+        self._due_at = self._election_deadline(now)
         return out
 
     def resign(self, now: float) -> list[Effect]:
@@ -132,7 +134,7 @@
         self._supported_at = now
         self.leads, self.leader = False, ""
         self._due_at = now + ELECTION_TIMEOUT * 4.0
-        said = Said("record_leads_no_more", {"term": self.term, "why": "it resigns"})
+        said = LogEvent("record_leads_no_more", {"term": self.term, "why": "it resigns"})
         return [said, *self._refuse_all("the leader resigned")]
 
     def _refuse_all(self, why: str) -> list[Effect]:
--- a/sableford/consensus/log_files.py
+++ b/sableford/consensus/log_files.py
@@ -16,10 +16,10 @@
 import google_crc32c
 import msgspec
 
-from sableford.fleet.record.core import Add, Cut, Held, Meta, Whole
-from sableford.fleet.record.disk import Disk
-from sableford.fleet.record.machine import Image
-from sableford.fleet.record.words import Entry
+from sableford.consensus.effects import AppendToLog, HardState, ReplaceLog, StoredState, TruncateLog
+from sableford.consensus.file_disk import Disk
+from sableford.consensus.messages import Entry
+from sableford.consensus.state_machine import Snapshot
 
 FORM = 1
 _FRAME = Struct("<2sII")  # magic, size, CRC32C of size and body
@@ -31,7 +31,7 @@
     form: int
     name: str
     id: str
-    image: int  # the last entry of the snapshot it stands on, 0 for none
+    snapshot: int  # the last entry of the snapshot it stands on, 0 for none
     first: int
     before: int
     lost: tuple[int, int] | None = None
@@ -61,7 +61,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 _record = msgspec.msgpack.Decoder(Head | _Meta | _Add | _Cut).decode
 _mark = msgspec.msgpack.Decoder(_Mark).decode
-_image = msgspec.msgpack.Decoder(Image).decode
+_image = msgspec.msgpack.Decoder(Snapshot).decode
 
 
 def frame(body: bytes) -> bytes:
@@ -106,7 +106,7 @@
 class Found(msgspec.Struct):
     """What a folder comes to: what is held, which log goes on at which size, and what is to be said of it."""
 
-    held: Held
+    held: StoredState
     log: str = ""
     size: int = 0
     said: list[str] = []
@@ -118,7 +118,7 @@
     """`files`: by name, none for one that can't be read."""
     logs = sorted((file for file in files if file.startswith("log-")), key=_number, reverse=True)
     if not logs:
-        return Found(Held(new_id))
+        return Found(StoredState(new_id))
     said: list[str] = []
     for log in logs:
         text = files[log]
@@ -134,9 +134,9 @@
             said.append(f"{log} has no head")
             continue
         if head.name != name:
-            return Found(Held(new_id), said=[f"the folder is {head.name}'s"], aside=list(files))
+            return Found(StoredState(new_id), said=[f"the folder is {head.name}'s"], aside=list(files))
         return _read(log, head, bodies[1:], size, behind, files, len(text), said)
-    return Found(Held(new_id), said=said, aside=list(files))
+    return Found(StoredState(new_id), said=said, aside=list(files))
 
 
 def _number(file: str) -> int:
@@ -179,14 +179,14 @@
         said.append(f"{log} was flushed up to byte {mark.size}, {size} of them are sound")
     if lost is None and length > size:
         said.append(f"{log} ended in a record that was never whole; it is cut off")
-    image = None
-    if head.image:
-        image = _snapshot(files.get(f"image-{head.image}"))
-        if image is None:
-            lost = max(lost or (0, 0), (term, max(last, head.image)))
-            said.append(f"image-{head.image} is missing or damaged: it is fetched from the others")
-            return Found(Held(head.id, term, vote, lost=lost), log, size, said)
-    held = Held(head.id, term, vote, image, head.first, head.before, tuple(entries), lost)
+    snapshot = None
+    if head.snapshot:
+        snapshot = _snapshot(files.get(f"image-{head.snapshot}"))
+        if snapshot is None:
+            lost = max(lost or (0, 0), (term, max(last, head.snapshot)))
+            said.append(f"image-{head.snapshot} is missing or damaged: it is fetched from the others")
+            return Found(StoredState(head.id, term, vote, lost=lost), log, size, said)
+    held = StoredState(head.id, term, vote, snapshot, head.first, head.before, tuple(entries), lost)
     return Found(held, log, size, said)
 
 
@@ -215,7 +215,7 @@
         return None
 
 
-def _snapshot(text: bytes | None) -> Image | None:
+def _snapshot(text: bytes | None) -> Snapshot | None:
     try:
         bodies = frames(text)[0] if text else []
         return _image(bodies[0]) if bodies else None
@@ -223,7 +223,7 @@
         return None
 
 
-class Store:
+class LogFiles:
     """The folder in use. All of it is a hand's; after a failure only a `Whole` is taken."""
 
     def __init__(self, disk: Disk, name: str) -> None:
@@ -245,8 +245,8 @@
         found = recover(self._name, files, os.urandom(8).hex())
         held = found.held
         self._log = found.log or "log-0"
-        meta = Meta(held.term, held.vote)
-        whole = Whole(held.id, meta, held.image, held.first, held.before, held.entries, held.lost)
+        meta = HardState(held.term, held.vote)
+        whole = ReplaceLog(held.id, meta, held.snapshot, held.first, held.before, held.entries, held.lost)
         try:
             for file in found.aside:
                 text = files[file]
@@ -258,67 +258,67 @@
             self._broken, found.failed = True, str(problem)
         return found
 
-    def keep(self, deeds: Iterable[object]) -> None:
+    def keep(self, writes: Iterable[object]) -> None:
         """All of them on the disk, in their order; OSError where not all surely are."""
-        deeds = list(deeds)
+        writes = list(writes)
         try:
-            at = max((at for at, deed in enumerate(deeds) if isinstance(deed, Whole)), default=None)
+            at = max((at for at, write in enumerate(writes) if isinstance(write, ReplaceLog)), default=None)
             if at is not None:  # what stood before it is in it
-                self._write(deeds[at])
-                deeds = deeds[at + 1 :]
+                self._write(writes[at])
+                writes = writes[at + 1 :]
             elif self._broken:
                 raise OSError("an earlier write failed")
-            if not deeds:
+            if not writes:
                 return
-            text = b"".join(frame(_encode(_form(deed))) for deed in deeds)
+            text = b"".join(frame(_encode(_form(write))) for write in writes)
             self._disk.append(self._log, text)
             self._disk.sync(self._log)
             self._size += len(text)
-            for deed in deeds:
-                self._follow(deed)
-            self._note()
+            for write in writes:
+                self._become_follower(write)
+            self._note_progress()
         except OSError:
             self._broken = True
             raise
 
-    def _follow(self, deed: object) -> None:
-        match deed:
-            case Meta(term):
+    def _become_follower(self, write: object) -> None:
+        match write:
+            case HardState(term):
                 self._term = term
-            case Add(index, entry):
+            case AppendToLog(index, entry):
                 self._last, self._term = index, max(self._term, entry.term)
-            case Cut(index):
+            case TruncateLog(index):
                 self._last = index
 
-    def _write(self, whole: Whole) -> None:
+    def _write(self, whole: ReplaceLog) -> None:
         """A new log beside the old one, which goes once the new one is whole."""
-        if whole.image is not None and whole.image.last != self._image:
-            self._disk.write(f"image-{whole.image.last}", frame(_encode(whole.image)))
-        image = whole.image.last if whole.image else 0
-        head = Head(FORM, self._name, whole.id, image, whole.first, whole.before, whole.lost)
+        if whole.snapshot is not None and whole.snapshot.last != self._image:
+            self._disk.write(f"image-{whole.snapshot.last}", frame(_encode(whole.snapshot)))
+        snapshot = whole.snapshot.last if whole.snapshot else 0
+        head = Head(FORM, self._name, whole.id, snapshot, whole.first, whole.before, whole.lost)
         records = [head, _Meta(*whole.meta)]
         records += [_Add(index, entry) for index, entry in enumerate(whole.entries, whole.first)]
         text = b"".join(frame(_encode(record)) for record in records)
         log = f"log-{_number(self._log) + 1}"
         self._disk.write(log, text)
-        self._log, self._size, self._broken, self._image = log, len(text), False, image
+        self._log, self._size, self._broken, self._image = log, len(text), False, snapshot
         self._term = max([whole.meta.term, *(entry.term for entry in whole.entries)])
         self._last = whole.first + len(whole.entries) - 1
-        self._note()
+        self._note_progress()
         for file in self._disk.names():
-            if file.startswith(("log-", "image-")) and file not in (log, f"image-{image}"):
+            if file.startswith(("log-", "image-")) and file not in (log, f"image-{snapshot}"):
                 self._disk.remove(file)
 
-    def _note(self) -> None:
+    def _note_progress(self) -> None:
         self._disk.note("mark", frame(_encode(_Mark(self._log, self._size, self._term, self._last))))
 
 
-def _form(deed: object) -> object:
-    match deed:
-        case Meta(term, vote):
+def _form(write: object) -> object:
+    match write:
+        case HardState(term, vote):
             return _Meta(term, vote)
-        case Add(index, entry):
+        case AppendToLog(index, entry):
             return _Add(index, entry)
-        case Cut(index):
+        case TruncateLog(index):
             return _Cut(index)
-    raise TypeError(f"{deed!r} is not kept")
+    raise TypeError(f"{write!r} is not kept")
--- a/sableford/consensus/messages.py
+++ b/sableford/consensus/messages.py
@@ -26,7 +26,7 @@
     after: int = -1
 
 
-class Vote(msgspec.Struct, array_like=True, frozen=True, tag=11):
+class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=11):
     """May I lead? With `pre` only asked, so that one that was cut off disturbs nobody."""
 
     id: str
@@ -36,7 +36,7 @@
     pre: bool
 
 
-class Voted(msgspec.Struct, array_like=True, frozen=True, tag=12):
+class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=12):
     """`quiet_ms`: for how long this voter has answered no leader; 0 from versions that do not say it."""
 
     id: str
@@ -46,7 +46,7 @@
     quiet_ms: float = 0.0
 
 
-class Append(msgspec.Struct, array_like=True, frozen=True, tag=13):
+class AppendRequest(msgspec.Struct, array_like=True, frozen=True, tag=13):
     id: str
     term: int
     prev: int
@@ -59,7 +59,7 @@
     voter: str = ""  # the addressee's id by the leader's voters; none: it is no voter, and is to fetch
 
 
-class Appended(msgspec.Struct, array_like=True, frozen=True, tag=14):
+class AppendResponse(msgspec.Struct, array_like=True, frozen=True, tag=14):
     id: str
     term: int
     yes: bool
@@ -67,7 +67,7 @@
     round: int
 
 
-class Fetch(msgspec.Struct, array_like=True, frozen=True, tag=15):
+class FetchRequest(msgspec.Struct, array_like=True, frozen=True, tag=15):
     """What comes after entry `have`? Of a snapshot under way, from byte `at`."""
 
     id: str
@@ -76,7 +76,7 @@
     at: int = 0
 
 
-class Fetched(msgspec.Struct, array_like=True, frozen=True, tag=16):
+class FetchResponse(msgspec.Struct, array_like=True, frozen=True, tag=16):
     """Settled entries from `first` on, and how far they are settled."""
 
     term: int
@@ -87,7 +87,7 @@
     through: int = 0  # the last entry of this answer; what comes next is to be asked for
 
 
-class Snap(msgspec.Struct, array_like=True, frozen=True, tag=17):
+class SnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=17):
     """A piece of the snapshot up to entry `last`."""
 
     last: int
@@ -97,7 +97,7 @@
     through: int = 0  # the bytes up to which this answer goes; the next are to be asked for
 
 
-class Offer(msgspec.Struct, array_like=True, frozen=True, tag=18):
+class ProposeRequest(msgspec.Struct, array_like=True, frozen=True, tag=18):
     """To the leader: put it into the record; or where `data` is none, say how far a read has to see."""
 
     number: int
@@ -105,36 +105,48 @@
     data: bytes | None = None
 
 
-class Offered(msgspec.Struct, array_like=True, frozen=True, tag=19):
+class ProposeResponse(msgspec.Struct, array_like=True, frozen=True, tag=19):
     """It stands at `index` or not, and why; a read may be served from there on. `birth` is the asker's: an
     answer to the process before it is not one to this."""
 
-    birth: int
+    incarnation: int
     number: int
     yes: bool
     index: int = 0
     why: str = ""
 
 
-class Hail(msgspec.Struct, array_like=True, frozen=True, tag=20):
+class StartupQuestion(msgspec.Struct, array_like=True, frozen=True, tag=20):
     """From a voter that has just started: who it is, and how far its folder goes."""
 
     id: str
     term: int
     last: int
-    bound: bool
+    knows_voter_ids: bool
 
 
-class Hailed(msgspec.Struct, array_like=True, frozen=True, tag=21):
+class StartupAnswer(msgspec.Struct, array_like=True, frozen=True, tag=21):
     """What I have heard of you: id, term and last entry; and whether my record names the voters' ids."""
 
     id: str
     your_id: str
     your_term: int
     your_last: int
-    bound: bool
+    knows_voter_ids: bool
     voters: dict[str, str] = {}
     agreed: int = -1  # the last entry that the sender knows to be agreed on, and whose voters these are
 
 
-Words = Vote | Voted | Append | Appended | Fetch | Fetched | Snap | Offer | Offered | Hail | Hailed
+RaftMessage = (
+    VoteRequest
+    | VoteResponse
+    | AppendRequest
+    | AppendResponse
+    | FetchRequest
+    | FetchResponse
+    | SnapshotChunk
+    | ProposeRequest
+    | ProposeResponse
+    | StartupQuestion
+    | StartupAnswer
+)
--- a/sableford/consensus/proposals.py
+++ b/sableford/consensus/proposals.py
@@ -1,12 +1,12 @@
 """Offers and reads: said again until a leader answers (Ongaro's dissertation, chapter 6)."""
 
-from sableford.fleet.record.constants import FORGOTTEN, MOST_OFFERS, MOVED, OFFER_RETRY
-from sableford.fleet.record.effects import Answer, Effect, Send
-from sableford.fleet.record.state import PendingOffer, Read, RecordState
-from sableford.fleet.record.words import Entry, Kind, Offer, Offered
+from sableford.consensus.constants import FORGOTTEN, MOST_OFFERS, MOVED, OFFER_RETRY
+from sableford.consensus.effects import Effect, ProposalResult, Send
+from sableford.consensus.messages import Entry, Kind, ProposeRequest, ProposeResponse
+from sableford.consensus.raft_state import PendingProposal, PendingRead, RaftState
 
 
-class Offers(RecordState):
+class Proposals(RaftState):
     """Offers of this process, and those that a leader takes."""
 
     def offer(self, now: float, data: bytes | None, kind: int = Kind.PUT) -> tuple[int, list[Effect]]:
@@ -20,55 +20,59 @@
             self._next_offer += 1
             number = self._next_offer
         if data is not None and len(data) > self._most + 512:
-            return number, [Answer(number, False, 0, f"{len(data)} bytes are too many")]
+            return number, [ProposalResult(number, False, 0, f"{len(data)} bytes are too many")]
         if len(self._offers) >= MOST_OFFERS:
-            return number, [Answer(number, False, 0, "too many offers under way")]
-        self._offers[number] = PendingOffer(kind, data)
-        return number, self._repeat(now)
+            return number, [ProposalResult(number, False, 0, "too many offers under way")]
+        self._offers[number] = PendingProposal(kind, data)
+        return number, self._retry_proposals(now)
 
     def drop(self, number: int) -> None:
         """Nobody waits for it any more; it may stand in the record all the same."""
         self._offers.pop(number, None)
 
-    def _repeat(self, now: float) -> list[Effect]:
+    def _retry_proposals(self, now: float) -> list[Effect]:
         out: list[Effect] = []
         for number, one in list(self._offers.items()):
             if one.need or now - one.said_at < OFFER_RETRY or not self.leader:
                 continue
             one.said_at = now
-            word = Offer(number, one.kind, one.data)
+            word = ProposeRequest(number, one.kind, one.data)
             out += (
-                self._offered(now, self.name, self.birth, word) if self.leads else [Send(self.leader, word)]
+                self._handle_propose_request(now, self.name, self.incarnation, word)
+                if self.leads
+                else [Send(self.leader, word)]
             )
         return out
 
-    def _offered(self, now: float, sender: str, birth: int, word: Offer) -> list[Effect]:
+    def _handle_propose_request(
+        self, now: float, sender: str, incarnation: int, word: ProposeRequest
+    ) -> list[Effect]:
         if not self.leads:
             return []  # said again to whoever leads by then
         if word.data is None:
-            return self._read_asked(now, Read(self._round + 1, sender, birth, word.number))
-        author = f"{sender}#{birth}"
-        if (known := self.machine.known(author, word.number)) is not None:
+            return self._handle_read(now, PendingRead(self._round + 1, sender, incarnation, word.number))
+        author = f"{sender}#{incarnation}"
+        if (known := self.state_machine.known(author, word.number)) is not None:
             index, held = known
             why = "" if held else MOVED if index else FORGOTTEN
-            return self._tell(sender, Offered(birth, word.number, held, index, why))
+            return self._respond(sender, ProposeResponse(incarnation, word.number, held, index, why))
         if (author, word.number) in self._taken:
             return []
         self._taken[author, word.number] = self.last + 1
-        out = self._enter(Entry(self.term, word.kind, author, word.number, word.data))
+        out = self._append_own(Entry(self.term, word.kind, author, word.number, word.data))
         for name, one in self._followers.items():
             if one.next == self.last:  # else it is behind and fed by its answers
-                out += self._feed(name, one)
+                out += self._send_entries(name, one)
         return out
 
-    def _read_asked(self, now: float, read: Read) -> list[Effect]:
+    def _handle_read(self, now: float, read: PendingRead) -> list[Effect]:
         """A round of heartbeats that begins after it was asked; while one is out for others it waits for the
         next, so that many reads cost no more rounds than a few."""
         if any(read[1:] == other[1:] for other in self._reads):  # said again
             return []
         under_way = any(other.round <= self._round for other in self._reads)
         self._reads.append(read)
-        return [] if under_way else self._beat(now)
+        return [] if under_way else self._send_heartbeats(now)
 
     def _answer_reads(self) -> list[Effect]:
         """Those whose round a majority has answered: where the asker may read from."""
@@ -80,28 +84,30 @@
         for read in list(self._reads):
             if self._majority(name for name, heard in rounds.items() if heard >= read.round):
                 self._reads.remove(read)
-                out += self._tell(read.asker, Offered(read.birth, read.number, True, self.commit))
+                out += self._respond(
+                    read.asker, ProposeResponse(read.incarnation, read.number, True, self.commit)
+                )
         if self._reads and all(read.round > self._round for read in self._reads):
-            out += self._beat(self._last_tick)
+            out += self._send_heartbeats(self._last_tick)
         return out
 
-    def _tell(self, to: str, word: Offered) -> list[Effect]:
-        return self._ended(self._last_tick, word) if to == self.name else [Send(to, word)]
+    def _respond(self, to: str, word: ProposeResponse) -> list[Effect]:
+        return self._handle_propose_response(self._last_tick, word) if to == self.name else [Send(to, word)]
 
-    def _ended(self, now: float, word: Offered) -> list[Effect]:
+    def _handle_propose_response(self, now: float, word: ProposeResponse) -> list[Effect]:
         one = self._offers.get(word.number)
-        if one is None or word.birth != self.birth:
+        if one is None or word.incarnation != self.incarnation:
             return []
         if one.data is None and word.yes:
             one.need = max(word.index, 1)
-            return self._serve_reads()
+            return self._finish_reads()
         del self._offers[word.number]
-        return [Answer(word.number, word.yes, word.index, word.why)]
+        return [ProposalResult(word.number, word.yes, word.index, word.why)]
 
-    def _serve_reads(self) -> list[Effect]:
+    def _finish_reads(self) -> list[Effect]:
         out: list[Effect] = []
         for number, one in list(self._offers.items()):
-            if one.need and self.machine.last >= one.need:
+            if one.need and self.state_machine.last >= one.need:
                 del self._offers[number]
-                out.append(Answer(number, True, self.machine.last, ""))
+                out.append(ProposalResult(number, True, self.state_machine.last, ""))
         return out
--- a/sableford/consensus/raft_node.py
+++ b/sableford/consensus/raft_node.py
@@ -10,50 +10,36 @@
 
 import msgspec
 
-from sableford.fleet.record.catch_up import CatchUp
-from sableford.fleet.record.constants import HEARTBEAT, LATE_TICK
-from sableford.fleet.record.effects import (
-    ACKS,
+from sableford.consensus.constants import HEARTBEAT, LATE_TICK
+from sableford.consensus.effects import (
     VOTES,
-    Add,
-    Answer,
-    Cut,
     Effect,
-    Held,
-    Kept,
-    Meta,
-    OwnVote,
-    Restored,
-    Said,
-    Send,
-    Settled,
     Standing,
-    Store,
-    Whole,
 )
-from sableford.fleet.record.elections import Elections
-from sableford.fleet.record.membership import Membership
-from sableford.fleet.record.offers import Offers
-from sableford.fleet.record.replication import Replication
-from sableford.fleet.record.startup import Startup
-from sableford.fleet.record.words import (
-    Append,
-    Appended,
-    Fetch,
-    Fetched,
-    Hail,
-    Hailed,
-    Offer,
-    Offered,
+from sableford.consensus.elections import Elections
+from sableford.consensus.messages import (
+    AppendRequest,
+    AppendResponse,
+    FetchRequest,
+    FetchResponse,
+    ProposeRequest,
+    ProposeResponse,
     Put,
-    Snap,
-    Vote,
-    Voted,
-    Words,
+    RaftMessage,
+    SnapshotChunk,
+    StartupAnswer,
+    StartupQuestion,
+    VoteRequest,
+    VoteResponse,
 )
+from sableford.consensus.proposals import Proposals
+from sableford.consensus.replication import Replication
+from sableford.consensus.snapshots import Snapshots
+from sableford.consensus.startup import Startup
+from sableford.consensus.voter_changes import VoterChanges
 
 
-class Record(Startup, Elections, Replication, Membership, CatchUp, Offers):
+class RaftNode(Startup, Elections, Replication, VoterChanges, Snapshots, Proposals):
     """One process's side. `tick` at `due`, `heard` for each word, `stored` and `failed` from the disk."""
 
     # Time
@@ -62,84 +48,61 @@
         out: list[Effect] = []
         if self._whole_due:
             self._whole_due = False
-            out += self._keep(self._whole())
+            out += self._persist(self._replace_log())
         if now - self._last_tick > LATE_TICK + HEARTBEAT and not self.leads:
-            self._due_at = max(self._due_at, self._election(now))  # it stood still itself
+            self._due_at = max(self._due_at, self._election_deadline(now))  # it stood still itself
         self._last_tick = now
-        if self.standing in (Standing.NEW, Standing.HAILING) and now >= self._hail_at:
-            out += self._hail(now)
-        if self.standing in (Standing.STRANGER, Standing.LEARNER) and self._is_voter(self.name, self.id):
+        if self.standing in (Standing.NEW, Standing.ASKING) and now >= self._hail_at:
+            out += self._ask_about_past(now)
+        if self.standing in (Standing.REPLACED, Standing.LEARNER) and self._is_voter(self.name, self.id):
             out += self._voter_again()
         if self.leads:
-            out += self._lead(now)
+            out += self._lead_tick(now)
         elif self.standing in VOTES and now >= self._due_at and self._is_voter(self.name, self.id):
-            out += self._stand(now)
+            out += self._start_election(now)
         elif not self._is_voter(self.name, self.id) or self._fetching is not None or self._leaderless(now):
-            out += self._pull(now)
+            out += self._fetch_if_due(now)
         self._forget_served(now)
-        out += self._repeat(now)
+        out += self._retry_proposals(now)
         waits = not self.leads and self._is_voter(self.name, self.id)
         self.due = min(now + HEARTBEAT, max(now + 1.0, self._due_at)) if waits else now + HEARTBEAT
         return out
 
     def met(self, now: float) -> None:
         """A way to another process is open: what waits for its answer asks now."""
-        if self.standing in (Standing.NEW, Standing.HAILING):
+        if self.standing in (Standing.NEW, Standing.ASKING):
             self._hail_at = self.due = now
 
     # Messages
 
-    def heard(self, now: float, sender: str, birth: int, word: Words) -> list[Effect]:
+    def heard(self, now: float, sender: str, incarnation: int, word: RaftMessage) -> list[Effect]:
         """A word from another process of the fleet."""
         match word:
-            case Hail():
-                return self._hailed(now, sender, word)
-            case Hailed():
-                return self._weighed(now, sender, word)
-            case Vote():
-                return self._asked(now, sender, word)
-            case Voted():
-                return self._counted(now, sender, word)
-            case Append():
-                return self._appended(now, sender, word)
-            case Appended():
-                return self._followed(now, sender, word)
-            case Fetch():
-                return self._fetched(now, sender, word)
-            case Fetched():
-                return self._learned(now, sender, word)
-            case Snap():
-                return self._piece(now, sender, word)
-            case Offer():
-                return self._offered(now, sender, birth, word)
-            case Offered():
-                return self._ended(now, word)
+            case StartupQuestion():
+                return self._handle_startup_question(now, sender, word)
+            case StartupAnswer():
+                return self._handle_startup_answer(now, sender, word)
+            case VoteRequest():
+                return self._handle_vote_request(now, sender, word)
+            case VoteResponse():
+                return self._handle_vote_response(now, sender, word)
+            case AppendRequest():
+                return self._handle_append_request(now, sender, word)
+            case AppendResponse():
+                return self._handle_append_response(now, sender, word)
+            case FetchRequest():
+                return self._handle_fetch_request(now, sender, word)
+            case FetchResponse():
+                return self._handle_fetch_response(now, sender, word)
+            case SnapshotChunk():
+                return self._handle_snapshot_chunk(now, sender, word)
+            case ProposeRequest():
+                return self._handle_propose_request(now, sender, incarnation, word)
+            case ProposeResponse():
+                return self._handle_propose_response(now, word)
         return []
 
 
 def put(key: str, value: bytes | None, after: int = -1) -> bytes:
     """The data of an entry that sets a key."""
     return msgspec.msgpack.encode(Put(key, value, after))
-
-
-__all__ = [
-    "ACKS",
-    "VOTES",
-    "Add",
-    "Answer",
-    "Cut",
-    "Effect",
-    "Held",
-    "Kept",
-    "Meta",
-    "OwnVote",
-    "Record",
-    "Restored",
-    "Said",
-    "Send",
-    "Settled",
-    "Standing",
-    "Store",
-    "Whole",
-    "put",
-]
--- a/sableford/consensus/raft_state.py
+++ b/sableford/consensus/raft_state.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from sableford.fleet.record.constants import (
+from sableford.consensus.constants import (
     DATAGRAMS,
     EARLY_PIECES,
     ELECTION_TIMEOUT,
@@ -20,27 +20,27 @@
     UNKNOWN,
     Transport,
 )
-from sableford.fleet.record.effects import (
+from sableford.consensus.effects import (
     Effect,
-    Held,
-    Kept,
-    Meta,
-    OwnVote,
-    Said,
+    HardState,
+    LogEvent,
+    OwnVoteCounts,
+    Persist,
+    Persisted,
+    ReplaceLog,
     Send,
     Standing,
-    Store,
-    Whole,
+    StoredState,
 )
-from sableford.fleet.record.machine import MOST_VALUE, Image, Machine
-from sableford.fleet.record.words import (
-    Appended,
+from sableford.consensus.messages import (
+    AppendResponse,
     Entry,
-    Fetched,
-    Hailed,
+    FetchResponse,
     Kind,
-    Voted,
+    StartupAnswer,
+    VoteResponse,
 )
+from sableford.consensus.state_machine import MOST_VALUE, Snapshot, StateMachine
 
 
 def entry_size(entry: Entry) -> int:
@@ -79,12 +79,12 @@
             self.data += follows
 
 
-class Read(NamedTuple):
+class PendingRead(NamedTuple):
     """A read that a leader was asked for: answered once a majority has answered that round."""
 
     round: int
     asker: str
-    birth: int
+    incarnation: int
     number: int
 
 
@@ -96,9 +96,9 @@
     heard: float
 
 
-def _without_gap(held: Held) -> Held:
+def _without_gap(held: StoredState) -> StoredState:
     """Entries that do not follow on the snapshot can't be applied: they count as lost."""
-    image_last, image_term = (held.image.last, held.image.term) if held.image is not None else (0, 0)
+    image_last, image_term = (held.snapshot.last, held.snapshot.term) if held.snapshot is not None else (0, 0)
     if held.first <= image_last + 1:
         return held
     last = held.first + len(held.entries) - 1
@@ -106,7 +106,7 @@
     return held._replace(first=image_last + 1, before=image_term, entries=(), lost=lost)
 
 
-class PendingOffer:
+class PendingProposal:
     __slots__ = ("data", "kind", "need", "said_at")
 
     def __init__(self, kind: int, data: bytes | None) -> None:
@@ -114,13 +114,13 @@
         self.need = 0  # of a read: the entry that has to be in force here
 
 
-class RecordState:
+class RaftState:
     def __init__(
         self,
         name: str,
-        birth: int,
+        incarnation: int,
         voters: Iterable[str],
-        held: Held,
+        held: StoredState,
         now: float,
         seed: int,
         most: int = MOST_VALUE,
@@ -134,10 +134,10 @@
         voter's answer to a hail is waited for; then a majority's is enough. `transport`: how much goes at
         once between the processes."""
         self._transport = transport
-        self.name, self.birth, self.id, self._most = name, birth, held.id, most
-        self._draw = Random(f"record {name} {birth} {seed}")
+        self.name, self.incarnation, self.id, self._most = name, incarnation, held.id, most
+        self._random = Random(f"record {name} {incarnation} {seed}")
         self._names = tuple(voters)
-        self.machine = Machine()
+        self.state_machine = StateMachine()
         self.term, self.vote = held.term, held.vote
         whole = _without_gap(held)
         self._whole_due = whole is not held  # the disk holds what was passed over
@@ -145,56 +145,56 @@
         self.first = held.first  # the index of the first entry kept
         self._before = held.before  # the term of the entry before it
         self.entries: list[Entry] = list(held.entries)
-        self.image: Image | None = held.image
+        self.snapshot: Snapshot | None = held.snapshot
         self._applied_bytes = 0  # of entries applied since the snapshot
         self._based: dict[str, str] = dict.fromkeys(self._names, "")  # voters by the snapshot or the file
-        if held.image is not None:
-            self._take(held.image)
+        if held.snapshot is not None:
+            self._adopt_snapshot(held.snapshot)
         self.wanted = tuple(voters)  # who should vote, as its host sees it; a leader works towards that
         self.around: tuple[str, ...] = ()  # others who hold the record, as its host sees it
-        if newcomer and held.image is None and not self.entries:
+        if newcomer and held.snapshot is None and not self.entries:
             self._based = dict.fromkeys(self._names, UNKNOWN)
-        self.commit = self.machine.last
+        self.commit = self.state_machine.last
         self.durable = self.last
         self._lost = held.lost
         if self._lost is not None and self._lost[0] >= self.term:
             # It may have voted in that term: for whom is lost, so it does so no more.
             self.term, self.vote = self._lost[0], "?"
         self.standing = self._was = Standing.LEARNER  # and the one before its disk failed
-        bound = any(self._latest_voters().values())
+        knows_voter_ids = any(self._latest_voters().values())
         if newcomer and UNKNOWN in self._based.values():
-            self.standing = Standing.STRANGER
-        elif name in (self._latest_voters() if bound else self._names):
-            self.standing = Standing.HAILING if bound else Standing.NEW
+            self.standing = Standing.REPLACED
+        elif name in (self._latest_voters() if knows_voter_ids else self._names):
+            self.standing = Standing.ASKING if knows_voter_ids else Standing.NEW
         self.leader = ""
         self.leads = False
         self._voters = self._latest_voters()
-        self._stamps: dict[str, tuple[str, int, int]] = {}  # the furthest that was heard of each voter
-        self._hails: dict[str, Hailed] = {}
+        self._progress: dict[str, tuple[str, int, int]] = {}  # the furthest that was heard of each voter
+        self._startup_answers: dict[str, StartupAnswer] = {}
         self._hail_from, self._hail_at, self._hail_wait = now, now, hail_wait
-        self._stood: dict[str, bool] = {}  # who said what in the election under way
+        self._votes: dict[str, bool] = {}  # who said what in the election under way
         self._pre = False
         self._followers: dict[str, Follower] = {}
         self._round = self._beat_at = 0
         self._round_at: dict[int, float] = {}  # when the last rounds went out
-        self._reads: list[Read] = []
+        self._reads: list[PendingRead] = []
         self._learners: dict[str, Learner] = {}
         self._round_commit = 0  # what was agreed on when the last heartbeats went out
-        self._past: dict[str, int] = {}  # voters that are to go: the round in which that was seen first
+        self._outgoing: dict[str, int] = {}  # voters that are to go: the round in which that was seen first
         self._waiting: deque[tuple[int, list[Effect]]] = deque()  # until the disk has said so
         self._stores = 0
         self._rewritten = inf  # the number of the store that makes a disk that failed good again
-        self._offers: dict[int, PendingOffer] = {}
+        self._offers: dict[int, PendingProposal] = {}
         self._next_offer = self._next_read = 0
         self._taken: dict[tuple[str, int], int] = {}  # of a leader: offers under way, their index
         self._pull_at = now
         self._source, self._unanswered = "", 0  # whom it asked last, how often since that one answered
         self._asked_after = 0  # the entry after which it asked last
         self._invited_at = self._invited_fetch_at = -inf  # by a leader that it does not vote for
-        self._early: dict[int, Fetched] = {}  # answers that came before one that they follow on
+        self._early: dict[int, FetchResponse] = {}  # answers that came before one that they follow on
         self._fetching: FetchedSnapshot | None = None
         self._served_snapshots: dict[int, tuple[bytes, float]] = {}  # by last: encoded, when last fetched
-        self._due_at = self._election(now)
+        self._due_at = self._election_deadline(now)
         self._last_tick = now
         self._led_at = now  # when the leader was heard last
         self._supported_at = now  # until when a leader may have counted on this process's answers
@@ -202,6 +202,11 @@
         self.earlier_leader_until = now  # of a leader: when the one before it could last count a majority
         self.due = now
 
+    @property
+    def birth(self) -> int:
+        """The incarnation, under the name that it has in the fleet's datagrams."""
+        return self.incarnation
+
     @property
     def last(self) -> int:
         return self.first + len(self.entries) - 1
@@ -219,9 +224,9 @@
     def voters(self) -> dict[str, str]:
         return self._voters
 
-    def settled_voters(self) -> dict[str, str] | None:
+    def stable_voters(self) -> dict[str, str] | None:
         """Who votes, agreed on; none while that is changing."""
-        if not self.bound() or any(
+        if not self.knows_voter_ids() or any(
             entry.kind == Kind.VOTERS for entry in self.entries[max(0, self.commit + 1 - self.first) :]
         ):
             return None
@@ -232,7 +237,7 @@
         known = dict.fromkeys([*self._names, *self._voters, *self.around])
         return [name for name in known if name != self.name]
 
-    def bound(self) -> bool:
+    def knows_voter_ids(self) -> bool:
         return any(self._voters.values())
 
     def _latest_voters(self) -> dict[str, str]:
@@ -251,7 +256,7 @@
         for index in range(self.last, self.first - 1, -1):
             if self.at(index).kind == Kind.VOTERS:
                 return index
-        return self.image.last if self.image is not None else 0
+        return self.snapshot.last if self.snapshot is not None else 0
 
     def _is_voter(self, name: str, id: str) -> bool:
         return name in self._voters and self._voters[name] in ("", id)
@@ -259,24 +264,24 @@
     def _majority(self, yes: Iterable[str]) -> bool:
         return len(self._voters.keys() & set(yes)) * 2 > len(self._voters)
 
-    def _election(self, now: float) -> float:
-        return now + ELECTION_TIMEOUT * (1.0 + self._draw.random())
+    def _election_deadline(self, now: float) -> float:
+        return now + ELECTION_TIMEOUT * (1.0 + self._random.random())
 
-    def _stands(self, standing: Standing, why: str) -> list[Effect]:
+    def _set_standing(self, standing: Standing, why: str) -> list[Effect]:
         if standing is self.standing:
             return []
         self.standing = standing
-        return [Said("record_standing", {"standing": standing.name, "means": standing.value, "why": why})]
+        return [LogEvent("record_standing", {"standing": standing.name, "means": standing.value, "why": why})]
 
     # The disk
 
-    def _keep(self, *deeds: object, then: list[Effect] | None = None) -> list[Effect]:
+    def _persist(self, *writes: object, then: list[Effect] | None = None) -> list[Effect]:
         """To the disk; `then` once it is there, and after all that was to be kept before."""
         self._stores += 1
-        self._waiting.append((self._stores, [Kept(self.last, self.term_at(self.last)), *(then or [])]))
-        return [Store(self._stores, deeds)]
+        self._waiting.append((self._stores, [Persisted(self.last, self.term_at(self.last)), *(then or [])]))
+        return [Persist(self._stores, writes)]
 
-    def _once_kept(self, then: list[Effect]) -> list[Effect]:
+    def _after_persisted(self, then: list[Effect]) -> list[Effect]:
         """Nothing more to the disk; `then` once all is there that was to be kept before."""
         if not self._waiting:
             return then
@@ -292,37 +297,39 @@
         while self._waiting and self._waiting[0][0] <= number:
             for effect in self._waiting.popleft()[1]:
                 match effect:
-                    case Kept(last, term):
+                    case Persisted(last, term):
                         if self.term_at(last) == term:  # else it was cut meanwhile
                             self.durable = last
-                    case OwnVote(term):
+                    case OwnVoteCounts(term):
                         if term == self.term and not self.leads and not self._pre:
-                            self._stood[self.name] = True
-                            out += self._count(now)
-                    case Send(_, Voted(term=term) | Appended(term=term)) if term != self.term:
+                            self._votes[self.name] = True
+                            out += self._count_votes(now)
+                    case Send(_, VoteResponse(term=term) | AppendResponse(term=term)) if term != self.term:
                         pass  # to the old leader it would count for entries that may be cut by now
                     case _:
                         out.append(effect)
         if self.standing is Standing.NO_DISK:
             # What it holds in memory was never in doubt; only a new process has to ask how far it was.
-            out += self._stands(self._was, "its disk takes it again")
-            if self.standing in (Standing.NEW, Standing.HAILING):
-                self._hails.clear()
+            out += self._set_standing(self._was, "its disk takes it again")
+            if self.standing in (Standing.NEW, Standing.ASKING):
+                self._startup_answers.clear()
                 self._hail_from = self._hail_at = now
-        if self.standing is Standing.MAIMED and self._regained():
+        if self.standing is Standing.INCOMPLETE and self._has_regained():
             self._lost = None
-            out += self._keep(self._whole()) + self._stands(Standing.SOUND, "it has fetched what it lost")
+            out += self._persist(self._replace_log()) + self._set_standing(
+                Standing.VOTING, "it has fetched what it lost"
+            )
         if self.leads:
-            out += self._agree()
+            out += self._advance_commit()
         return out
 
     def failed(self, now: float, why: str) -> list[Effect]:
         """The disk refused: nothing that was under way may be spoken of. Reading goes on."""
         if self.standing is not Standing.NO_DISK:
             self._was = self.standing
-        out = self._stands(Standing.NO_DISK, why)
+        out = self._set_standing(Standing.NO_DISK, why)
         self._waiting.clear()
-        self._stood = {}
+        self._votes = {}
         self._rewritten = inf
         if self.leads:
             self._supported_at = now
@@ -336,10 +343,12 @@
         if self.standing is not Standing.NO_DISK or self._rewritten < inf:
             return []
         self._rewritten = self._stores + 1
-        if self.machine.last > (self.image.last if self.image else 0):
-            return self._fold(0, 0)
-        return self._keep(self._whole())
-
-    def _whole(self) -> Whole:
-        meta = Meta(self.term, self.vote)
-        return Whole(self.id, meta, self.image, self.first, self._before, tuple(self.entries), self._lost)
+        if self.state_machine.last > (self.snapshot.last if self.snapshot else 0):
+            return self._compact(0, 0)
+        return self._persist(self._replace_log())
+
+    def _replace_log(self) -> ReplaceLog:
+        meta = HardState(self.term, self.vote)
+        return ReplaceLog(
+            self.id, meta, self.snapshot, self.first, self._before, tuple(self.entries), self._lost
+        )
--- a/sableford/consensus/replication.py
+++ b/sableford/consensus/replication.py
@@ -2,7 +2,7 @@
 sections 5.3 and 5.4).
 """
 
-from sableford.fleet.record.constants import (
+from sableford.consensus.constants import (
     AHEAD_ENTRIES,
     AHEAD_MESSAGES,
     FETCH_INTERVAL,
@@ -12,12 +12,28 @@
     ROUNDS,
     SNAPSHOT_KEEP_ENTRIES,
 )
-from sableford.fleet.record.effects import ACKS, Add, Cut, Effect, Said, Send, Settled, Standing
-from sableford.fleet.record.state import Follower, RecordState, entry_size
-from sableford.fleet.record.words import Append, Appended, Entry, Fetch, Kind, Offered
+from sableford.consensus.effects import (
+    ACKS,
+    AppendToLog,
+    Committed,
+    Effect,
+    LogEvent,
+    Send,
+    Standing,
+    TruncateLog,
+)
+from sableford.consensus.messages import (
+    AppendRequest,
+    AppendResponse,
+    Entry,
+    FetchRequest,
+    Kind,
+    ProposeResponse,
+)
+from sableford.consensus.raft_state import Follower, RaftState, entry_size
 
 
-class Replication(RecordState):
+class Replication(RaftState):
     """Heartbeats, entries, acknowledgements, commits."""
 
     def fresh(self, now: float, within: float) -> bool:
@@ -26,44 +42,46 @@
         lately = [name for name, one in self._followers.items() if now - one.said_to <= within]
         return self.leads and self._majority([*lately, self.name])
 
-    def _lead(self, now: float) -> list[Effect]:
+    def _lead_tick(self, now: float) -> list[Effect]:
         near = [name for name, one in self._followers.items() if now - one.heard < QUORUM_TIMEOUT]
         if not self._majority([*near, self.name]):
             # Cut off, it must not go on as if what it is offered could be agreed on.
-            out: list[Effect] = [Said("record_leads_no_more", {"term": self.term, "why": "no majority"})]
+            out: list[Effect] = [LogEvent("record_leads_no_more", {"term": self.term, "why": "no majority"})]
             self._supported_at = now
             self.leads, self.leader = False, ""
-            self._due_at = self._election(now)
+            self._due_at = self._election_deadline(now)
             return out + self._refuse_all("no majority is heard")
         if now < self._beat_at:
             return []
         self._beat_at = now + HEARTBEAT
-        return self._change_voters(now) + self._beat(now)
+        return self._change_voters(now) + self._send_heartbeats(now)
 
-    def _beat(self, now: float) -> list[Effect]:
+    def _send_heartbeats(self, now: float) -> list[Effect]:
         self._round += 1
         self._round_commit = self.commit
         self._round_at[self._round] = now
         self._round_at.pop(self._round - ROUNDS, None)
         out: list[Effect] = []
         for name, one in self._followers.items():
-            out += self._beat_one(now, name, one)
-        return out + self._invite() + self._agree()
+            out += self._send_to_follower(now, name, one)
+        return out + self._invite_learners() + self._advance_commit()
 
-    def _beat_one(self, now: float, name: str, one: Follower) -> list[Effect]:
+    def _send_to_follower(self, now: float, name: str, one: Follower) -> list[Effect]:
         silent = now - one.heard >= self._transport.resend
         if silent and one.next <= self.last:
             one.next = one.match + 1  # what was sent ahead is lost
         # One that is silent is not sent more until it answers: it would only fill the way to it.
-        return (not silent and self._feed(name, one)) or [Send(name, self._word(name, one.next - 1, ()))]
+        return (not silent and self._send_entries(name, one)) or [
+            Send(name, self._append_request(name, one.next - 1, ()))
+        ]
 
-    def _word(self, name: str, prev: int, entries: tuple[Entry, ...]) -> Append:
+    def _append_request(self, name: str, prev: int, entries: tuple[Entry, ...]) -> AppendRequest:
         prev = max(prev, self.first - 1)
         before = prev, self.term_at(prev)
         known = self.commit, self._round, self.durable, entries, self.first
-        return Append(self.id, self.term, *before, *known, self._voters.get(name, ""))
+        return AppendRequest(self.id, self.term, *before, *known, self._voters.get(name, ""))
 
-    def _feed(self, name: str, one: Follower, most: int = AHEAD_MESSAGES) -> list[Effect]:
+    def _send_entries(self, name: str, one: Follower, most: int = AHEAD_MESSAGES) -> list[Effect]:
         """Entries it does not have, a few words ahead of its answers."""
         out: list[Effect] = []
         if one.next < self.first:  # it has to fetch the snapshot
@@ -80,38 +98,38 @@
             if ahead and ahead + size > self._transport.window_bytes:
                 break
             entries = tuple(self.entries[one.next - self.first : end - self.first])
-            out.append(Send(name, self._word(name, one.next - 1, entries)))
+            out.append(Send(name, self._append_request(name, one.next - 1, entries)))
             one.next, ahead = end, ahead + size
         return out
 
-    def _followed(self, now: float, sender: str, word: Appended) -> list[Effect]:
+    def _handle_append_response(self, now: float, sender: str, word: AppendResponse) -> list[Effect]:
         if word.term > self.term and self._is_voter(sender, word.id):
-            return self._follow(now, word.term, "")
+            return self._become_follower(now, word.term, "")
         if not self.leads or word.term != self.term or sender not in self._followers:
             return []
         if not self._is_voter(sender, word.id):  # another folder than the one that votes
-            self._seen_folder(now, sender, word.id)
+            self._note_other_disk(now, sender, word.id)
             return []
         one = self._followers[sender]
         one.heard, one.round = now, max(one.round, word.round)
         one.said_to = max(one.said_to, self._round_at.get(word.round, -1e12))
-        self._note(sender, word.id, word.term, word.last if word.yes else 0)
+        self._note_progress(sender, word.id, word.term, word.last if word.yes else 0)
         if word.yes:
             one.match = max(one.match, min(word.last, self.last))
             one.next = max(one.next, one.match + 1)
-            return self._agree() + self._feed(sender, one)
+            return self._advance_commit() + self._send_entries(sender, one)
         one.next = max(one.match + 1, min(word.last + 1, one.next))
         if now - one.back_at < HEARTBEAT / 2.0:  # each word in vain has its answer, and one more is enough
             return []
         one.back_at = now
         if word.last < one.match:  # it held more: let it see for itself that its folder was set back
-            return [Send(sender, self._knows(sender))]
+            return [Send(sender, self._known_past_of(sender))]
         if one.next < self.first and now - one.fetched_at > FETCH_INTERVAL:
             # The version before asks for a snapshot only where it is far behind, or has been sent the start.
-            return self._serve_snapshot(now, sender, Fetch(word.id, word.last))
-        return self._feed(sender, one, 1)
+            return self._serve_snapshot(now, sender, FetchRequest(word.id, word.last))
+        return self._send_entries(sender, one, 1)
 
-    def _agree(self) -> list[Effect]:
+    def _advance_commit(self) -> list[Effect]:
         """What a majority keeps is agreed on, where the last of it is of this term."""
         out: list[Effect] = []
         kept = {name: one.match for name, one in self._followers.items()}
@@ -119,22 +137,28 @@
         ranked = sorted((kept.get(name, 0) for name in self._voters), reverse=True)
         agreed = ranked[len(ranked) // 2] if ranked else 0
         if agreed > self.commit and self.term_at(agreed) == self.term:
-            out += self._settle(agreed)
+            out += self._apply_committed(agreed)
         return out + self._answer_reads()
 
     # A follower's part
 
-    def _appended(self, now: float, sender: str, word: Append) -> list[Effect]:
+    def _handle_append_request(self, now: float, sender: str, word: AppendRequest) -> list[Effect]:
         if word.term < self.term:
-            return [Send(sender, Appended(self.id, self.term, False, self.last, word.round))]
+            return [Send(sender, AppendResponse(self.id, self.term, False, self.last, word.round))]
         voter = word.voter == self.id
         if not voter and (word.first or not self._is_voter(self.name, self.id)):
-            return self._invited(now, sender)  # it fetches; a leader counts nobody who is not a voter
-        out = self._follow(now, word.term, sender) if (word.term, sender) != (self.term, self.leader) else []
-        self._due_at, self._led_at = self._election(now), now
+            return self._handle_invitation(
+                now, sender
+            )  # it fetches; a leader counts nobody who is not a voter
+        out = (
+            self._become_follower(now, word.term, sender)
+            if (word.term, sender) != (self.term, self.leader)
+            else []
+        )
+        self._due_at, self._led_at = self._election_deadline(now), now
         self._supported_at = now
-        self._note(sender, word.id, word.term, word.kept)
-        joins = voter and self.standing in (Standing.STRANGER, Standing.LEARNER)
+        self._note_progress(sender, word.id, word.term, word.kept)
+        joins = voter and self.standing in (Standing.REPLACED, Standing.LEARNER)
         if self.standing not in ACKS and not joins:
             return out  # what it held and no disk will keep would pass for kept once the disk is back
         if word.prev > self.last or (word.prev >= self.first and self.term_at(word.prev) != word.prev_term):
@@ -145,9 +169,9 @@
                 out += self._fetch(now, sender)
             return [
                 *out,
-                Send(sender, Appended(self.id, self.term, False, max(hint, self.commit), word.round)),
+                Send(sender, AppendResponse(self.id, self.term, False, max(hint, self.commit), word.round)),
             ]
-        deeds: list = []
+        writes: list = []
         for index, entry in enumerate(word.entries, word.prev + 1):
             if index < self.first or self.term_at(index) == entry.term:
                 continue
@@ -155,38 +179,42 @@
                 if index <= self.commit:
                     raise AssertionError(f"entry {index} was agreed on and is to be replaced")
                 del self.entries[index - self.first :]
-                deeds.append(Cut(index - 1))
+                writes.append(TruncateLog(index - 1))
                 self.durable = min(self.durable, index - 1)
             self.entries.append(entry)
-            deeds.append(Add(index, entry))
-        if any(isinstance(deed, Cut) or deed.entry.kind == Kind.VOTERS for deed in deeds):
+            writes.append(AppendToLog(index, entry))
+        if any(isinstance(write, TruncateLog) or write.entry.kind == Kind.VOTERS for write in writes):
             self._set_voters()
         held = word.prev + len(word.entries)
         commit = min(word.commit, held)
-        answer = [Send(sender, Appended(self.id, self.term, True, held, word.round))]
-        out += self._keep(*deeds, then=answer) if deeds else self._once_kept(answer)
+        answer = [Send(sender, AppendResponse(self.id, self.term, True, held, word.round))]
+        out += self._persist(*writes, then=answer) if writes else self._after_persisted(answer)
         if commit > self.commit:
-            out += self._settle(commit)
+            out += self._apply_committed(commit)
         return out
 
     # What is agreed on
 
-    def _settle(self, commit: int) -> list[Effect]:
+    def _apply_committed(self, commit: int) -> list[Effect]:
         out: list[Effect] = []
         self.commit = commit
-        while self.machine.last < commit and (entry := self.at(self.machine.last + 1)) is not None:
-            stopped = self.machine.stopped
-            index = self.machine.last + 1
-            held = self.machine.apply(index, entry)
-            if self.machine.stopped:
+        while (
+            self.state_machine.last < commit and (entry := self.at(self.state_machine.last + 1)) is not None
+        ):
+            stopped = self.state_machine.stopped
+            index = self.state_machine.last + 1
+            held = self.state_machine.apply(index, entry)
+            if self.state_machine.stopped:
                 if not stopped:
-                    out.append(Said("record_stopped", {"why": self.machine.stopped}))
+                    out.append(LogEvent("record_stopped", {"why": self.state_machine.stopped}))
                 break
             self._applied_bytes += entry_size(entry)
-            out.append(Settled(index, entry, held))
+            out.append(Committed(index, entry, held))
             if self.leads and self._taken.pop((entry.author, entry.number), None) is not None:
-                name, _, birth = entry.author.rpartition("#")
-                out += self._tell(name, Offered(int(birth), entry.number, held, index, "" if held else MOVED))
-        if self._fold_due():
-            out += self._fold()
-        return out + self._serve_reads()
+                name, _, incarnation = entry.author.rpartition("#")
+                out += self._respond(
+                    name, ProposeResponse(int(incarnation), entry.number, held, index, "" if held else MOVED)
+                )
+        if self._compaction_due():
+            out += self._compact()
+        return out + self._finish_reads()
--- /dev/null
+++ b/sableford/consensus/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""The record in simulated time: seeded walks, an explorer of all orders of a small model, growth."""
--- a/sableford/consensus/simulation/explorer.py
+++ b/sableford/consensus/simulation/explorer.py
@@ -13,9 +13,29 @@
 
 import msgspec
 
-from sableford.fleet.record import core as decided
-from sableford.fleet.record.core import Add, Cut, Held, Meta, Record, Said, Settled, Standing, Whole, put
-from sableford.fleet.record.words import Append, Appended, Entry, Fetch, Hail, Hailed, Kind, Vote, Voted
+from sableford.consensus import effects as raft_effects
+from sableford.consensus.effects import (
+    AppendToLog,
+    Committed,
+    HardState,
+    LogEvent,
+    ReplaceLog,
+    Standing,
+    StoredState,
+    TruncateLog,
+)
+from sableford.consensus.messages import (
+    AppendRequest,
+    AppendResponse,
+    Entry,
+    FetchRequest,
+    Kind,
+    StartupAnswer,
+    StartupQuestion,
+    VoteRequest,
+    VoteResponse,
+)
+from sableford.consensus.raft_node import RaftNode, put
 
 NAMES = ("a", "b", "c")
 FAR = 100_000.0  # ms between two steps in which time passes: every wait is over
@@ -63,32 +83,34 @@
 class State:
     """One state of the model; `steps` is how it came about."""
 
-    def __init__(self, make: Callable[..., Record], bounds: Bounds) -> None:
+    def __init__(self, make: Callable[..., RaftNode], bounds: Bounds) -> None:
         self._make, self._bounds = make, bounds
         self.now = 0.0
-        self.disks: dict[str, tuple[Meta, tuple[Entry, ...]]] = dict.fromkeys(NAMES, (Meta(1, ""), (FIRST,)))
+        self.disks: dict[str, tuple[HardState, tuple[Entry, ...]]] = dict.fromkeys(
+            NAMES, (HardState(1, ""), (FIRST,))
+        )
         self.queues: dict[str, tuple] = dict.fromkeys(NAMES, ())  # (number, deeds) not yet on disk
         self.words: tuple = ()  # (from, to, word)
         self.agreed: dict[int, Entry] = {}
         self.led: dict[int, str] = {}
         self.used = _Used()
         self.births = 0
-        self.cores: dict[str, Record] = {}
+        self.cores: dict[str, RaftNode] = {}
         self.steps: tuple[str, ...] = ()
         for name in NAMES:
             self.cores[name] = self._core(name)
         for name in NAMES:
-            self._hail(name)
+            self._ask_about_past(name)
 
-    def _core(self, name: str) -> Record:
+    def _core(self, name: str) -> RaftNode:
         meta, entries = self.disks[name]
         self.births += 1
-        held = Held(f"id-{name}", meta.term, meta.vote, entries=entries)
+        held = StoredState(f"id-{name}", meta.term, meta.vote, entries=entries)
         core = self._make(name, self.births, NAMES, held, self.now, 0)
-        core._draw = _Still()
+        core._random = _Still()
         return core
 
-    def _hail(self, name: str) -> None:
+    def _ask_about_past(self, name: str) -> None:
         self.now += FAR
         self.do(name, self.cores[name].tick(self.now))
 
@@ -106,13 +128,13 @@
             (
                 *(core.term, core.vote, core.leads, core.commit, core.durable, core.standing, core._pre),
                 tuple(core.entries),
-                tuple(sorted(core._stood.items())),
+                tuple(sorted(core._votes.items())),
                 tuple((one.next, one.match) for one in core._followers.values()) if core.leads else (),
                 tuple(number - core._stores for number, _ in core._waiting),
             )
             for core in self.cores.values()
         )
-        queues = tuple(tuple(deeds for _, deeds in queue) for queue in self.queues.values())
+        queues = tuple(tuple(writes for _, writes in queue) for queue in self.queues.values())
         return cores, queues, frozenset(self.words), tuple(self.disks.values()), self.used
 
     # What happens
@@ -120,26 +142,30 @@
     def do(self, name: str, effects: list) -> None:
         for effect in effects:
             match effect:
-                case decided.Store(number, deeds):
-                    self.queues[name] = (*self.queues[name], (number, deeds))
+                case raft_effects.Persist(number, writes):
+                    self.queues[name] = (*self.queues[name], (number, writes))
                     if name not in self._bounds.slow:
                         self.keep(name)
-                case decided.Send(to, word):
+                case raft_effects.Send(to, word):
                     self._send(name, to, word)
-                case Settled(index, entry, _):
+                case Committed(index, entry, _):
                     if self.agreed.setdefault(index, entry) != entry:
                         raise Wrong(f"entry {index} settled twice")
-                case Said("record_leader", {"leader": leader, "term": term}) if leader == name:
+                case LogEvent("record_leader", {"leader": leader, "term": term}) if leader == name:
                     if self.led.setdefault(term, name) != name:
                         raise Wrong(f"two lead term {term}")
 
     def _send(self, name: str, to: str, word: object) -> None:
-        at_once = isinstance(word, Hail | Hailed) or (isinstance(word, Vote | Voted) and word.pre)
+        at_once = isinstance(word, StartupQuestion | StartupAnswer) or (
+            isinstance(word, VoteRequest | VoteResponse) and word.pre
+        )
         if at_once:
             if to in self.cores:
                 self.do(to, self.cores[to].heard(self.now, name, 0, word))
-        elif not isinstance(word, Fetch) or self._bounds.fetches:
-            if isinstance(word, Append | Appended):  # rounds are for reads, which are not part of the model
+        elif not isinstance(word, FetchRequest) or self._bounds.fetches:
+            if isinstance(
+                word, AppendRequest | AppendResponse
+            ):  # rounds are for reads, which are not part of the model
                 word = msgspec.structs.replace(word, round=0)
             if (name, to, word) not in self.words:
                 self.words = (*self.words, (name, to, word))
@@ -151,12 +177,12 @@
     def _matters(self, start: str, to: str, word: object) -> bool:
         core = self.cores[to]
         match word:
-            case Vote():
+            case VoteRequest():
                 return word.term > core.term or (word.term == core.term and core.vote in ("", start))
-            case Voted():
-                counts = word.yes and word.term == core.term and bool(core._stood) and not core.leads
+            case VoteResponse():
+                counts = word.yes and word.term == core.term and bool(core._votes) and not core.leads
                 return counts or word.term > core.term
-            case Appended():
+            case AppendResponse():
                 return word.term > core.term or (core.leads and word.term == core.term)
         return True
 
@@ -182,18 +208,18 @@
         self.do(to, self.cores[to].heard(self.now, start, 0, word))
 
     def keep(self, name: str) -> None:
-        (number, deeds), *rest = self.queues[name]
+        (number, writes), *rest = self.queues[name]
         self.queues[name] = tuple(rest)
         meta, entries = self.disks[name]
-        for deed in deeds:
-            match deed:
-                case Meta():
-                    meta = deed
-                case Add(index, entry):
+        for write in writes:
+            match write:
+                case HardState():
+                    meta = write
+                case AppendToLog(index, entry):
                     entries = (*entries[: index - 1], entry)
-                case Cut(index):
+                case TruncateLog(index):
                     entries = entries[:index]
-                case Whole(_, meta, _, _, _, entries, _):
+                case ReplaceLog(_, meta, _, _, _, entries, _):
                     pass
         self.disks[name] = meta, entries
         self.do(name, self.cores[name].stored(self.now, number))
@@ -214,37 +240,37 @@
         self.used = self.used._replace(crashes="".join(sorted(self.used.crashes + name)))
         self.queues[name] = ()
         self.cores[name] = self._core(name)
-        self._hail(name)
+        self._ask_about_past(name)
 
 
-def _clone(core: Record) -> Record:
+def _clone(core: RaftNode) -> RaftNode:
     new = copy(core)
     for field, value in core.__dict__.items():
         if isinstance(value, list | dict | deque):
             new.__dict__[field] = copy(value)
     new._followers = {name: copy(one) for name, one in core._followers.items()}
     new._offers = {number: copy(one) for number, one in core._offers.items()}
-    new.machine = copy(core.machine)
-    new.machine.values, new.machine.taken = (
-        dict(core.machine.values),
-        {author: dict(taken) for author, taken in core.machine.taken.items()},
+    new.state_machine = copy(core.state_machine)
+    new.state_machine.values, new.state_machine.taken = (
+        dict(core.state_machine.values),
+        {author: dict(taken) for author, taken in core.state_machine.taken.items()},
     )
     return new
 
 
-def explore(bounds: Bounds, make: Callable[..., Record] = Record) -> tuple[int, bool]:
+def explore(bounds: Bounds, make: Callable[..., RaftNode] = RaftNode) -> tuple[int, bool]:
     """How many different states were seen, breadth first, and whether those are all there are. Raises Wrong
     with the shortest way to a state that must not be."""
     first = State(make, bounds)
-    if any(core.standing is not Standing.SOUND for core in first.cores.values()):
+    if any(core.standing is not Standing.VOTING for core in first.cores.values()):
         raise Wrong("the voters do not come up")
     seen, waiting = {first.key()}, deque([first])
     while waiting:
         state = waiting.popleft()
-        for step, deed in state.steps_from(bounds):
+        for step, write in state.steps_from(bounds):
             new = state.clone(step)
             try:
-                deed(new)
+                write(new)
             except AssertionError as problem:
                 raise Wrong("\n".join((str(problem), *new.steps))) from problem
             new.prune()
--- a/sableford/consensus/simulation/growth.py
+++ b/sableford/consensus/simulation/growth.py
@@ -9,9 +9,10 @@
 
 import msgspec
 
+from sableford.consensus.constants import STREAMS, Transport
+from sableford.consensus.effects import Committed, LogEvent, Persist, ProposalResult, SnapshotInstalled
+from sableford.consensus.raft_node import RaftNode, put
 from sableford.control.record_storage import RecordStorage
-from sableford.fleet.record.constants import STREAMS, Transport
-from sableford.fleet.record.core import Answer, Record, Restored, Said, Settled, Store, put
 from sableford.fleet.trial import Trial
 
 SYNC = 2.0  # ms of one write
@@ -26,8 +27,8 @@
         self.file: dict[bytes, bytes] = {}
         self.storage = RecordStorage([])
         self.settled: list[int] = []
-        self.said: list[Said] = []
-        self.answers: dict[int, Answer] = {}
+        self.said: list[LogEvent] = []
+        self.answers: dict[int, ProposalResult] = {}
         self.full = False  # its disk refuses
 
     def open(self) -> None:
@@ -48,7 +49,7 @@
         self,
         names: Iterable[str],
         transport: Transport = STREAMS,
-        make: Callable[..., Record] = Record,
+        make: Callable[..., RaftNode] = RaftNode,
         seed: int = 1,
         loss: float = 0.0,
     ) -> None:
@@ -61,10 +62,10 @@
             self.start(name)
 
     @property
-    def cores(self) -> dict[str, Record]:
+    def cores(self) -> dict[str, RaftNode]:
         return self.trial.cores
 
-    def start(self, name: str, wiped: bool = False, newcomer: bool = False) -> Record:
+    def start(self, name: str, wiped: bool = False, newcomer: bool = False) -> RaftNode:
         """A process of that name: new, or after `kill`; `wiped` with an empty folder, `newcomer` the first of
         its name."""
         self._births += 1
@@ -100,13 +101,13 @@
             self.trial.run(min(end, self.trial.now + 5.0))
         return until()
 
-    def leader(self) -> Record | None:
+    def leader(self) -> RaftNode | None:
         """The one that leads the newest term, its voters agreed on."""
         leads = [core for name, core in self.cores.items() if core.leads and name not in self.trial.dead]
         leader = max(leads, key=lambda core: core.term, default=None)
-        return leader if leader is not None and leader.settled_voters() is not None else None
+        return leader if leader is not None and leader.stable_voters() is not None else None
 
-    def led(self) -> Record:
+    def led(self) -> RaftNode:
         assert self.run(10_000.0, lambda: self.leader() is not None), "nobody leads"
         return self.leader()
 
@@ -129,18 +130,18 @@
     def _seen(self, name: str, effect: object) -> None:
         member, core = self.members[name], self.cores[name]
         match effect:
-            case Store():
+            case Persist():
                 self.trial.at(self.trial.now + SYNC, name, lambda: self._store(name, core, effect))
-            case Settled(index):
+            case Committed(index):
                 member.settled.append(index)
-            case Restored(index):
+            case SnapshotInstalled(index):
                 member.settled.append(index)
-            case Said():
+            case LogEvent():
                 member.said.append(effect)
-            case Answer(number):
+            case ProposalResult(number):
                 member.answers[number] = effect
 
-    def _store(self, name: str, core: Record, store: Store) -> None:
+    def _store(self, name: str, core: RaftNode, store: Persist) -> None:
         if self.cores[name] is not core:
             return
         member = self.members[name]
@@ -148,7 +149,7 @@
             self.trial.do(name, core.failed(self.trial.now, "No space left on device"))
             self.trial.at(self.trial.now + 1000.0, name, lambda: self.trial.do(name, core.rewrite()))
             return
-        member.write(member.storage.puts(store.deeds, store.number))
+        member.write(member.storage.puts(store.writes, store.number))
         member.storage.kept(store.number)
         self.trial.do(name, core.stored(self.trial.now, store.number))
 
@@ -176,7 +177,7 @@
     file = group.members[leader.name].file
     disk = sum(len(key) + len(value) for key, value in file.items())
     entries, log = len(leader.entries), sum(len(entry.data) for entry in leader.entries)
-    image = len(msgspec.msgpack.encode(leader.image)) if leader.image is not None else 0
+    snapshot = len(msgspec.msgpack.encode(leader.snapshot)) if leader.snapshot is not None else 0
     wiped = next(name for name in group.names if name != leader.name)
     group.kill(wiped)
     group.run(200.0)
@@ -192,14 +193,14 @@
             took = group.trial.now - began
             break
     sent = sum(group.trial.bytes[name] - before[name] for name in group.names if name != wiped)
-    return Figures(changes, value_bytes, disk, entries, log, image, sent, took)
+    return Figures(changes, value_bytes, disk, entries, log, snapshot, sent, took)
 
 
-def _caught_up(group: Group, core: Record) -> bool:
+def _caught_up(group: Group, core: RaftNode) -> bool:
     leader = group.leader()
     if leader is None or leader.voters().get(core.name) != core.id:
         return False
-    return core.standing.name == "SOUND" and core.commit >= leader.commit
+    return core.standing.name == "VOTING" and core.commit >= leader.commit
 
 
 def _value(number: int, size: int) -> bytes:
--- a/sableford/consensus/simulation/walk.py
+++ b/sableford/consensus/simulation/walk.py
@@ -10,10 +10,11 @@
 
 import msgspec
 
-from sableford.fleet.record import core as decided
-from sableford.fleet.record.core import Answer, Record, Said, Settled, put
-from sableford.fleet.record.store import Store
-from sableford.fleet.record.words import Kind
+from sableford.consensus import effects as raft_effects
+from sableford.consensus.effects import Committed, LogEvent, ProposalResult
+from sableford.consensus.log_files import LogFiles
+from sableford.consensus.messages import Kind
+from sableford.consensus.raft_node import RaftNode, put
 from sableford.fleet.trial import Trial
 
 LIES = ("torn", "flip", "flip_end", "lost", "older", "emptied")
@@ -100,7 +101,7 @@
         learners: int = 1,
         loss: float = 0.05,
         lies: tuple[str, ...] = LIES,
-        make: Callable[..., Record] = Record,
+        make: Callable[..., RaftNode] = RaftNode,
         value_bytes: int = 0,
     ) -> None:
         """`value_bytes`: by how much each value offered is longer than its number."""
@@ -112,7 +113,7 @@
         self.voters = [f"v{at}" for at in range(voters)]
         self.names = [*self.voters, *(f"l{at}" for at in range(learners))]
         self.disks = {name: MemoryDisk() for name in self.names}
-        self.stores: dict[str, Store] = {}
+        self.stores: dict[str, LogFiles] = {}
         self.starts = 0
         self.led: dict[int, str] = {}
         self.agreed: dict[int, object] = {}
@@ -130,7 +131,7 @@
 
     def start(self, name: str) -> None:
         self.starts += 1
-        store = Store(self.disks[name], name)
+        store = LogFiles(self.disks[name], name)
         found = store.open()
         self.stores[name] = store
         core = self._make(name, self.starts, self.voters, found.held, self.trial.now, self.seed)
@@ -139,7 +140,7 @@
         if found.failed:
             self._fail(name, core, found.failed)
 
-    def _fail(self, name: str, core: Record, why: str) -> None:
+    def _fail(self, name: str, core: RaftNode, why: str) -> None:
         trial = self.trial
         trial.do(name, core.failed(trial.now, why))
 
@@ -159,31 +160,31 @@
 
     def _seen(self, name: str, effect: object) -> None:
         match effect:
-            case decided.Store(number, deeds):
-                self._store(name, number, deeds)
-            case Settled(index, entry, _):
+            case raft_effects.Persist(number, writes):
+                self._store(name, number, writes)
+            case Committed(index, entry, _):
                 if self.agreed.setdefault(index, entry) != entry:
                     raise Wrong(f"{name} settles another entry {index}: {entry} beside {self.agreed[index]}")
-            case Answer(number, yes, index, _):
+            case ProposalResult(number, yes, index, _):
                 self._answer(name, number, yes, index)
-            case Said("record_leader", facts) if facts["leader"] == name:
+            case LogEvent("record_leader", facts) if facts["leader"] == name:
                 if self.led.setdefault(facts["term"], name) != name:
                     raise Wrong(f"{name} and {self.led[facts['term']]} both lead term {facts['term']}")
                 self.changes += 1
                 self.story.append(f"{self.trial.now:.0f} {name} leads term {facts['term']}")
-            case Said(event, facts):
+            case LogEvent(event, facts):
                 self.story.append(f"{self.trial.now:.0f} {name} {event} {facts}")
-                if event == "record_standing" and facts["standing"] == "SOUND" and name == self.lying:
+                if event == "record_standing" and facts["standing"] == "VOTING" and name == self.lying:
                     self.lying = ""
 
-    def _store(self, name: str, number: int, deeds: tuple) -> None:
+    def _store(self, name: str, number: int, writes: tuple) -> None:
         store, core = self.stores[name], self.trial.cores[name]
 
         def done() -> None:
             if self.trial.cores[name] is not core:
                 return
             try:
-                store.keep(deeds)
+                store.keep(writes)
             except OSError as problem:
                 self._fail(name, core, str(problem))
                 return
@@ -255,7 +256,7 @@
         """The others live, can be reached, and none of them has lied and not come back."""
         others = [one for one in self.voters if one != name]
         up = all(one not in self.trial.dead and one not in self.trial.stopped for one in others)
-        sound = all(self.trial.cores[one].standing is decided.Standing.SOUND for one in others)
+        sound = all(self.trial.cores[one].standing is raft_effects.Standing.VOTING for one in others)
         cut = any(self.trial.cut(one, two) for one in self.voters for two in self.voters if one != two)
         return up and sound and not cut and not self.lying and name not in self.trial.dead
 
@@ -298,7 +299,7 @@
         commits = {name: self.trial.cores[name].commit for name in self.names}
         if len(set(commits.values())) > 1:
             raise Wrong(f"with all well again they stand at {commits}")
-        images = {msgspec.msgpack.encode(core.machine.values) for core in self.trial.cores.values()}
+        images = {msgspec.msgpack.encode(core.state_machine.values) for core in self.trial.cores.values()}
         if len(images) > 1:
             raise Wrong("one order of entries, and different values")
         gone = [index for index in self.acked.values() if index > min(commits.values())]
--- a/sableford/consensus/snapshots.py
+++ b/sableford/consensus/snapshots.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from sableford.fleet.record.constants import (
+from sableford.consensus.constants import (
     FETCH_INTERVAL,
     FETCH_RETRY,
     FETCH_TRIES,
@@ -15,33 +15,33 @@
     SNAPSHOT_SERVED,
     SNAPSHOTS_SERVED,
 )
-from sableford.fleet.record.effects import Add, Cut, Effect, Restored, Said, Send
-from sableford.fleet.record.machine import Image
-from sableford.fleet.record.state import FetchedSnapshot, Learner, RecordState, entry_size
-from sableford.fleet.record.words import Entry, Fetch, Fetched, Kind, Snap
+from sableford.consensus.effects import AppendToLog, Effect, LogEvent, Send, SnapshotInstalled, TruncateLog
+from sableford.consensus.messages import Entry, FetchRequest, FetchResponse, Kind, SnapshotChunk
+from sableford.consensus.raft_state import FetchedSnapshot, Learner, RaftState, entry_size
+from sableford.consensus.state_machine import Snapshot
 
 
-class CatchUp(RecordState):
+class Snapshots(RaftState):
     """Snapshots, learners."""
 
-    def _fold_due(self) -> bool:
+    def _compaction_due(self) -> bool:
         """Whether what was applied since the last snapshot is long enough for the next."""
-        if self.machine.last - (self.image.last if self.image else 0) >= SNAPSHOT_ENTRIES:
+        if self.state_machine.last - (self.snapshot.last if self.snapshot else 0) >= SNAPSHOT_ENTRIES:
             return True
         if self._applied_bytes < SNAPSHOT_LOG_BYTES:
             return False
-        return self._applied_bytes >= SNAPSHOT_LOG_IMAGES * self.machine.size()
+        return self._applied_bytes >= SNAPSHOT_LOG_IMAGES * self.state_machine.size()
 
-    def _fold(
+    def _compact(
         self, keep_entries: int = SNAPSHOT_KEEP_ENTRIES, keep_bytes: int = SNAPSHOT_KEEP_BYTES
     ) -> list[Effect]:
         """A snapshot in place of all but the last entries before it."""
-        voters = self._voters_at(self.machine.last)
-        image = self.machine.image(voters)
-        self.image, self._applied_bytes = image, 0
-        keep, size = image.last + 1, 0
+        voters = self._voters_at(self.state_machine.last)
+        snapshot = self.state_machine.snapshot(voters)
+        self.snapshot, self._applied_bytes = snapshot, 0
+        keep, size = snapshot.last + 1, 0
         least = max(self.first, keep - keep_entries)
-        most = max(keep_bytes, self.machine.size()) if keep_bytes else 0
+        most = max(keep_bytes, self.state_machine.size()) if keep_bytes else 0
         while keep > least and (size := size + entry_size(self.at(keep - 1))) <= most:
             keep -= 1
         self._before = self.term_at(keep - 1)
@@ -49,19 +49,19 @@
         self.first = keep
         # The voters before the first kept entry are the snapshot's: those kept say so again.
         self._based = voters
-        return self._keep(self._whole())
+        return self._persist(self._replace_log())
 
-    def _take(self, image: Image) -> None:
+    def _adopt_snapshot(self, snapshot: Snapshot) -> None:
         """A snapshot read or fetched; entries after it stay where it is of the same past."""
-        self.image, self._applied_bytes = image, 0
-        self.machine.restore(image)
-        if self.term_at(image.last) != image.term:
-            self.entries, self.first, self._before = [], image.last + 1, image.term
-        self._based = dict(image.voters)
+        self.snapshot, self._applied_bytes = snapshot, 0
+        self.state_machine.restore(snapshot)
+        if self.term_at(snapshot.last) != snapshot.term:
+            self.entries, self.first, self._before = [], snapshot.last + 1, snapshot.term
+        self._based = dict(snapshot.voters)
 
     # Fetching
 
-    def _pull(self, now: float) -> list[Effect]:
+    def _fetch_if_due(self, now: float) -> list[Effect]:
         """The next fetch, where it is time for one."""
         names = self._peers()
         if now < self._pull_at or not names:
@@ -70,7 +70,9 @@
         if under_way is not None and under_way.source in names and self._unanswered < FETCH_TRIES:
             return self._fetch(now, under_way.source)  # a snapshot under way is one process's
         # By chance, so that none is asked by all.
-        return self._fetch(now, self._draw.choice([name for name in names if name != self._source] or names))
+        return self._fetch(
+            now, self._random.choice([name for name in names if name != self._source] or names)
+        )
 
     def _fetch(self, now: float, source: str) -> list[Effect]:
         """What comes after all that is in force here, or the next pieces of a snapshot from that source."""
@@ -79,15 +81,15 @@
         self._early.clear()
         under_way = self._fetching
         if under_way is None or under_way.source != source:
-            self._pull_at = now + FETCH_INTERVAL * self._draw.uniform(0.5, 1.5)
-            return [Send(source, Fetch(self.id, self.commit))]
+            self._pull_at = now + FETCH_INTERVAL * self._random.uniform(0.5, 1.5)
+            return [Send(source, FetchRequest(self.id, self.commit))]
         self._pull_at = now + self._transport.fetch_retry
         under_way.asked_at = len(under_way.data)
-        return [Send(source, Fetch(self.id, self.commit, under_way.last, under_way.asked_at))]
+        return [Send(source, FetchRequest(self.id, self.commit, under_way.last, under_way.asked_at))]
 
-    def _invited(self, now: float, leader: str) -> list[Effect]:
+    def _handle_invitation(self, now: float, leader: str) -> list[Effect]:
         """A leader that this process does not vote for wants it up to date: perhaps it is to vote."""
-        self.leader, self._led_at, self._due_at = leader, now, self._election(now)
+        self.leader, self._led_at, self._due_at = leader, now, self._election_deadline(now)
         self._invited_at = now
         if self._fetching is not None or now < self._invited_fetch_at + FETCH_RETRY / 2.0:
             return []
@@ -97,22 +99,22 @@
     def newest(self, now: float, index: int) -> None:
         """Somebody has come further: a learner fetches at once."""
         if index > self.commit and not self._is_voter(self.name, self.id):
-            self._pull_at = min(self._pull_at, now + FETCH_RETRY * self._draw.random())
+            self._pull_at = min(self._pull_at, now + FETCH_RETRY * self._random.random())
 
     # Serving those who fetch
 
-    def _fetched(self, now: float, sender: str, word: Fetch) -> list[Effect]:
+    def _handle_fetch_request(self, now: float, sender: str, word: FetchRequest) -> list[Effect]:
         if self.leads:
             # It holds all that was agreed on when the last heartbeats went out.
             self._learners[sender] = Learner(word.id, word.have >= self._round_commit, now)
         if (follower := self._followers.get(sender)) is not None:
             follower.fetched_at = now
-        if word.have < self.first - 1 and self.image is not None:
+        if word.have < self.first - 1 and self.snapshot is not None:
             return self._serve_snapshot(now, sender, word)
         batches = self._batches(max(word.have + 1, self.first))
         through = batches[-1][0] + len(batches[-1][1]) - 1
         return [
-            Send(sender, Fetched(self.term, first, self.commit, entries, self.leader, through))
+            Send(sender, FetchResponse(self.term, first, self.commit, entries, self.leader, through))
             for first, entries in batches
         ]
 
@@ -131,22 +133,22 @@
             first = end
         return out
 
-    def _serve_snapshot(self, now: float, sender: str, word: Fetch) -> list[Effect]:
+    def _serve_snapshot(self, now: float, sender: str, word: FetchRequest) -> list[Effect]:
         """The next pieces: of the snapshot that was begun, while it is held, else of the newest. Whoever
         fetches one is not made to start over by each new one."""
         held, start = self._served_snapshots, word.at
         last = word.snap
         if last not in held:
-            last, start = self.image.last, 0
+            last, start = self.snapshot.last, 0
         if last not in held:
-            held[last] = msgspec.msgpack.encode(self.image), now
+            held[last] = msgspec.msgpack.encode(self.snapshot), now
         blob, _ = held.pop(last)
         held[last] = blob, now
         self._served_snapshots = dict(list(held.items())[-SNAPSHOTS_SERVED:])
         size = self._transport.piece_bytes
         through = min(len(blob), start + size * self._transport.pieces)
         return [
-            Send(sender, Snap(last, at, len(blob), blob[at : min(at + size, through)], through))
+            Send(sender, SnapshotChunk(last, at, len(blob), blob[at : min(at + size, through)], through))
             for at in range(start, through, size)
         ]
 
@@ -159,7 +161,7 @@
 
     # What was fetched
 
-    def _learned(self, now: float, sender: str, word: Fetched) -> list[Effect]:
+    def _handle_fetch_response(self, now: float, sender: str, word: FetchResponse) -> list[Effect]:
         """Agreed on, so it is taken as it stands. A voter's log is its leader's business; but one without a
         leader, or that its leader does not name, may have been replaced, and learns it so."""
         votes = self._is_voter(self.name, self.id)
@@ -185,24 +187,24 @@
         self._pull_at = min(self._pull_at, now + (FETCH_RETRY if word.through else 0.0))
         return out
 
-    def _take_agreed(self, word: Fetched) -> list[Effect]:
-        deeds: list = []
+    def _take_agreed(self, word: FetchResponse) -> list[Effect]:
+        writes: list = []
         for index, entry in enumerate(word.entries, word.first):
             if index <= self.commit or self.term_at(index) == entry.term:
                 continue
             if index <= self.last:  # from a leader of before, and never agreed on
                 del self.entries[index - self.first :]
-                deeds.append(Cut(index - 1))
+                writes.append(TruncateLog(index - 1))
                 self.durable = min(self.durable, index - 1)
             self.entries.append(entry)
-            deeds.append(Add(index, entry))
-        out = self._keep(*deeds) if deeds else []
-        if any(isinstance(deed, Cut) or deed.entry.kind == Kind.VOTERS for deed in deeds):
+            writes.append(AppendToLog(index, entry))
+        out = self._persist(*writes) if writes else []
+        if any(isinstance(write, TruncateLog) or write.entry.kind == Kind.VOTERS for write in writes):
             self._set_voters()
         told = word.first + len(word.entries) - 1
-        return out + self._settle(min(told, word.commit)) if told > self.commit else out
+        return out + self._apply_committed(min(told, word.commit)) if told > self.commit else out
 
-    def _piece(self, now: float, sender: str, word: Snap) -> list[Effect]:
+    def _handle_snapshot_chunk(self, now: float, sender: str, word: SnapshotChunk) -> list[Effect]:
         if word.last <= self.commit or not 0 <= word.at < word.of or sender != self._source:
             return []
         self._unanswered = 0
@@ -213,28 +215,28 @@
             one = self._fetching = FetchedSnapshot(sender, word.last, word.of)
         one.take(word.at, word.data)
         if len(one.data) >= one.size:
-            return self._install(now, one)
+            return self._install_snapshot(now, one)
         self._pull_at = now + self._transport.fetch_retry
         over = len(one.data) >= word.through if word.through else len(one.data) % OLD_SNAPSHOT_WINDOW == 0
         return self._fetch(now, sender) if over and len(one.data) > one.asked_at else []
 
-    def _install(self, now: float, fetched: FetchedSnapshot) -> list[Effect]:
+    def _install_snapshot(self, now: float, fetched: FetchedSnapshot) -> list[Effect]:
         """A whole snapshot in place of what it covers; it counts as held once it is on disk."""
         self._fetching = None
         try:
-            image = msgspec.msgpack.decode(bytes(fetched.data), type=Image)
+            snapshot = msgspec.msgpack.decode(bytes(fetched.data), type=Snapshot)
         except msgspec.MsgspecError:
-            return [Said("record_snapshot_spoilt", {"from": fetched.source})]
+            return [LogEvent("record_snapshot_spoilt", {"from": fetched.source})]
         agreed = self.commit
-        self._take(image)
+        self._adopt_snapshot(snapshot)
         if not self.entries:  # nothing of what was on disk is part of it any more
             self.durable = min(self.durable, agreed)
-        self.commit = self.machine.last
+        self.commit = self.state_machine.last
         self._voters = self._latest_voters()
-        out = self._keep(self._whole())
+        out = self._persist(self._replace_log())
         out += [
-            Said("record_snapshot", {"from": fetched.source, "last": image.last}),
-            Restored(image.last),
-            *self._serve_reads(),
+            LogEvent("record_snapshot", {"from": fetched.source, "last": snapshot.last}),
+            SnapshotInstalled(snapshot.last),
+            *self._finish_reads(),
         ]
         return out if self._is_voter(self.name, self.id) else out + self._fetch(now, fetched.source)
--- a/sableford/consensus/state_machine.py
+++ b/sableford/consensus/state_machine.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sableford.fleet.record.words import Entry, Kind, Put
+from sableford.consensus.messages import Entry, Kind, Put
 
 AUTHORS = 4096  # whose last offers are remembered, the oldest going first: far more than schedulers
 WINDOW = 512  # numbers of one author remembered: twice what it may have under way at once
@@ -22,7 +22,7 @@
     index: int  # of the entry that set it
 
 
-class Image(msgspec.Struct):
+class Snapshot(msgspec.Struct):
     """A snapshot: all that entries up to `last` add up to."""
 
     last: int
@@ -32,7 +32,7 @@
     taken: dict[str, dict[int, tuple[int, bool]]]
 
 
-class Machine:
+class StateMachine:
     def __init__(self) -> None:
         self.last, self.term = 0, 0
         self.values: dict[str, Value] = {}
@@ -44,7 +44,7 @@
     def apply(self, index: int, entry: Entry) -> bool:
         """One more entry; whether it had its effect. An offer taken already has none again.
 
-        >>> machine, put = Machine(), msgspec.msgpack.encode(Put("a", b"1"))
+        >>> machine, put = StateMachine(), msgspec.msgpack.encode(Put("a", b"1"))
         >>> [machine.apply(at, Entry(1, Kind.PUT, "x", 1, put)) for at in (1, 2)]
         [True, False]
         >>> machine.values, machine.apply(3, Entry(1, 99)), machine.apply(4, Entry(1, 0)), machine.last
@@ -101,16 +101,16 @@
             self.values[put.key] = Value(put.value, index)
         return True
 
-    def image(self, voters: dict[str, str]) -> Image:
+    def snapshot(self, voters: dict[str, str]) -> Snapshot:
         """As it stands; the values themselves are shared, since none is ever changed."""
-        return Image(
+        return Snapshot(
             self.last, self.term, dict(voters), dict(self.values), {a: dict(t) for a, t in self.taken.items()}
         )
 
-    def restore(self, image: Image) -> None:
-        self.last, self.term, self.stopped = image.last, image.term, ""
-        self.values = {key: Value(*value) for key, value in image.values.items()}
+    def restore(self, snapshot: Snapshot) -> None:
+        self.last, self.term, self.stopped = snapshot.last, snapshot.term, ""
+        self.values = {key: Value(*value) for key, value in snapshot.values.items()}
         self.taken = {
             author: {number: tuple(what) for number, what in taken.items()}
-            for author, taken in image.taken.items()
+            for author, taken in snapshot.taken.items()
         }
--- a/sableford/consensus/voter_changes.py
+++ b/sableford/consensus/voter_changes.py
@@ -16,23 +16,23 @@
 
 import msgspec
 
-from sableford.fleet.record.constants import FETCH_INTERVAL, SILENT
-from sableford.fleet.record.effects import Add, Effect, Said, Send
-from sableford.fleet.record.state import Follower, Learner, RecordState
-from sableford.fleet.record.words import Entry, Kind
+from sableford.consensus.constants import FETCH_INTERVAL, SILENT
+from sableford.consensus.effects import AppendToLog, Effect, LogEvent, Send
+from sableford.consensus.messages import Entry, Kind
+from sableford.consensus.raft_state import Follower, Learner, RaftState
 
 
-class Membership(RecordState):
+class VoterChanges(RaftState):
     """Who votes, and the leader's work towards those who are wanted."""
 
-    def _named(self, voters: dict[str, str]) -> Entry:
+    def _voters_entry(self, voters: dict[str, str]) -> Entry:
         return Entry(self.term, Kind.VOTERS, data=msgspec.msgpack.encode(voters))
 
-    def _enter(self, entry: Entry) -> list[Effect]:
+    def _append_own(self, entry: Entry) -> list[Effect]:
         self.entries.append(entry)
         if entry.kind == Kind.VOTERS:
             self._set_voters()
-        return self._keep(Add(self.last, entry))
+        return self._persist(AppendToLog(self.last, entry))
 
     def _set_voters(self) -> None:
         self._voters = self._latest_voters()
@@ -42,13 +42,13 @@
             for name in sorted(self._followers.keys() - self._voters.keys()):
                 del self._followers[name]
 
-    def _seen_folder(self, now: float, name: str, id: str) -> None:
+    def _note_other_disk(self, now: float, name: str, id: str) -> None:
         """A process of that name has another folder than the one that votes."""
         known = self._learners.get(name)
         caught_up = known is not None and known.id == id and known.caught_up
         self._learners[name] = Learner(id, caught_up, now)
 
-    def _silent(self, now: float, name: str) -> bool:
+    def _is_silent(self, now: float, name: str) -> bool:
         one = self._followers.get(name)
         return one is not None and now - one.heard >= SILENT
 
@@ -62,23 +62,23 @@
 
     def _change_voters(self, now: float) -> list[Effect]:
         """The next change towards `wanted`, where one is due and may be made; the table is at the top."""
-        if self.term_at(self.commit) != self.term or self.settled_voters() is None:
+        if self.term_at(self.commit) != self.term or self.stable_voters() is None:
             return []
         size = len(self._voters)
         lost = [name for name in self._wanted_learners(now, FETCH_INTERVAL * 4) if name in self._voters]
         for name in lost:
-            if size > 2 and self._silent(now, name):
+            if size > 2 and self._is_silent(now, name):
                 return self._remove_voter(name)
         newcomers = {
             name: id
             for name, id in self._wanted_learners(now, FETCH_INTERVAL).items()
             if name not in self._voters and self._learners[name].caught_up
         }
-        past = self._past_voters(now)
-        if past and newcomers and size > 2 and self._silent(now, past[0]):
+        past = self._outgoing_voters(now)
+        if past and newcomers and size > 2 and self._is_silent(now, past[0]):
             return self._remove_voter(past[0])
-        unsure = [name for name in past if self._followers[name].round <= self._past[name]]
-        if not all(self._silent(now, name) for name in unsure):
+        unsure = [name for name in past if self._followers[name].round <= self._outgoing[name]]
+        if not all(self._is_silent(now, name) for name in unsure):
             return []  # it is not known yet whether they answer
         for name, id in newcomers.items():
             return self._add_voter(name, id)
@@ -88,22 +88,22 @@
             return self._remove_voter(past[0])
         return []
 
-    def _past_voters(self, now: float) -> list[str]:
+    def _outgoing_voters(self, now: float) -> list[str]:
         """Voters that are to go, the silent first; and the round in which each was first seen to be one."""
         past = [name for name in sorted(self._voters) if name not in self.wanted and name != self.name]
-        self._past = {name: self._past.get(name, self._round) for name in past}
-        return sorted(past, key=lambda name: not self._silent(now, name))
+        self._outgoing = {name: self._outgoing.get(name, self._round) for name in past}
+        return sorted(past, key=lambda name: not self._is_silent(now, name))
 
     def _add_voter(self, name: str, id: str) -> list[Effect]:
-        said = Said("record_voter", {"voter": name, "id": id, "in": True})
-        return [said, *self._enter(self._named({**self._voters, name: id}))]
+        said = LogEvent("record_voter", {"voter": name, "id": id, "in": True})
+        return [said, *self._append_own(self._voters_entry({**self._voters, name: id}))]
 
     def _remove_voter(self, name: str) -> list[Effect]:
         rest = {other: id for other, id in self._voters.items() if other != name}
-        said = Said("record_voter", {"voter": name, "id": self._voters[name], "in": False})
-        return [said, *self._enter(self._named(rest))]
+        said = LogEvent("record_voter", {"voter": name, "id": self._voters[name], "in": False})
+        return [said, *self._append_own(self._voters_entry(rest))]
 
-    def _invite(self) -> list[Effect]:
+    def _invite_learners(self) -> list[Effect]:
         """Heartbeats to those who are to vote and do not yet: they fetch from the leader."""
         learners = [name for name in self.wanted if name not in self._voters and name != self.name]
-        return [Send(name, self._word(name, self.last, ())) for name in learners]
+        return [Send(name, self._append_request(name, self.last, ())) for name in learners]
--- a/sableford/control/configuration_keeper.py
+++ b/sableford/control/configuration_keeper.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from typing import Any
 
+from sableford.consensus.constants import FORGOTTEN, MOVED
+from sableford.consensus.raft_node import put
 from sableford.control import order_history, orders
 from sableford.control.order_process import ProposalOutcome
 from sableford.control.protocol import ConfigurationVersion
 from sableford.control.record_driver import MAX_VALUE_BYTES, RecordDriver
-from sableford.fleet.record.constants import FORGOTTEN, MOVED
-from sableford.fleet.record.core import put
 
 CONFIGURATION_KEY = "config"  # of the record's values
 
--- a/sableford/control/record_driver.py
+++ b/sableford/control/record_driver.py
@@ -1,6 +1,6 @@
 """Runs this machine's side of the replicated record: its messages, its disk, and the offers made here.
 
-The record itself (`sableford.fleet.record`) decides without I/O; this module carries out what it asks for.
+The record itself (`sableford.consensus`) decides without I/O; this module carries out what it asks for.
 """
 
 import asyncio
@@ -13,12 +13,12 @@
 
 from sableford.common.disk import Disk
 from sableford.common.log import EventLog
+from sableford.consensus import effects as raft_effects
+from sableford.consensus import messages as raft_messages
+from sableford.consensus.constants import STREAMS
+from sableford.consensus.raft_node import RaftNode
 from sableford.control.protocol import RecordMessage
 from sableford.control.record_storage import RecordStorage, RecordWriter
-from sableford.fleet.record import core as record_core
-from sableford.fleet.record import words as record_words
-from sableford.fleet.record.constants import STREAMS
-from sableford.fleet.record.core import Record
 from sableford.transport.link import IncomingMessage, Link
 from sableford.transport.link_pool import LinkPool
 
@@ -28,7 +28,7 @@
 MAX_VALUE_BYTES = 1_048_576  # some of the largest configurations that a call may carry
 
 _encode = msgspec.json.Encoder().encode
-_decode = msgspec.json.Decoder(record_words.Words).decode
+_decode = msgspec.json.Decoder(raft_messages.RaftMessage).decode
 
 
 class OfferResult(NamedTuple):
@@ -56,18 +56,18 @@
         self._name, self._links, self._disk, self._log, self._now = name, links, disk, log, now
         self._on_applied, self._on_event = on_applied, on_event
         self._loop = asyncio.get_running_loop()
-        self.record: Record | None = None
+        self.record: RaftNode | None = None
         self._writer: RecordWriter | None = None
         self._incarnation = int.from_bytes(os.urandom(6), "little")
         self._offers: dict[int, asyncio.Future[OfferResult]] = {}
         self._incoming_links: dict[str, Link] = {}  # on which others' messages of the record came
 
-    def start(self, storage: RecordStorage, seeds: Iterable[str]) -> Record:
+    def start(self, storage: RecordStorage, seeds: Iterable[str]) -> RaftNode:
         """Every store holds the record; who votes is agreed on in it, at first the seeds."""
         self._writer = RecordWriter(storage, self._disk.write, self._stored)
         is_newcomer = not storage.names
         names = storage.names or sorted({*seeds} - {self._name})
-        self.record = Record(
+        self.record = RaftNode(
             self._name,
             self._incarnation,
             names,
@@ -93,12 +93,12 @@
             record is not None
             and record.leads
             and record.term_at(record.commit) == record.term
-            and record.machine.last >= record.commit
+            and record.state_machine.last >= record.commit
         )
 
-    def settled_voters(self) -> dict[str, str] | None:
+    def stable_voters(self) -> dict[str, str] | None:
         """Who votes, by name with the id of each one's disk; None while that is changing."""
-        return self.record.settled_voters() if self.record is not None else None
+        return self.record.stable_voters() if self.record is not None else None
 
     def next_tick_in_ms(self) -> float:
         """Until the record wants its next tick."""
@@ -146,25 +146,25 @@
         finally:
             self._offers.pop(number, None)
 
-    def carry_out(self, effects: Iterable[record_core.Effect]) -> None:
+    def carry_out(self, effects: Iterable[raft_effects.Effect]) -> None:
         """What the record asks for, in its order."""
         for effect in effects:
             match effect:
-                case record_core.Send(to, word):
+                case raft_effects.Send(to, word):
                     self._send(to, word)
-                case record_core.Store():
+                case raft_effects.Persist():
                     assert self._writer is not None, "not started"
                     self._writer.keep(effect)
-                case record_core.Answer(number, accepted, index, why):
+                case raft_effects.ProposalResult(number, accepted, index, why):
                     future = self._offers.pop(number, None)
                     if future is not None and not future.done():
                         future.set_result(OfferResult(accepted, index, why))
-                case record_core.Settled() | record_core.Restored():
+                case raft_effects.Committed() | raft_effects.SnapshotInstalled():
                     self._on_applied()
-                case record_core.Said(event, fields):
+                case raft_effects.LogEvent(event, fields):
                     self._log.event(event, **fields)
 
-    def _send(self, to: str, word: record_words.Words) -> None:
+    def _send(self, to: str, word: raft_messages.RaftMessage) -> None:
         # A store that lost its disk knows of few others, and answers whoever asks.
         link = self._links.link(to) or self._incoming_links.get(to)
         if link is not None:
--- a/sableford/control/record_storage.py
+++ b/sableford/control/record_storage.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from sableford.common.disk import Puts
-from sableford.fleet.record.core import Add, Cut, Held, Meta, Store, Whole
-from sableford.fleet.record.machine import Image
-from sableford.fleet.record.words import Entry
+from sableford.consensus.effects import AppendToLog, HardState, Persist, ReplaceLog, StoredState, TruncateLog
+from sableford.consensus.messages import Entry
+from sableford.consensus.state_machine import Snapshot
 
 META, ENTRY, IMAGE = b"rm", b"re", b"ri"
 
@@ -39,14 +39,14 @@
 
     def __init__(self, found: Iterable[tuple[bytes, bytes]]) -> None:
         self._meta = _Meta(os.urandom(8).hex())
-        image: Image | None = None
+        image: Snapshot | None = None
         entries: dict[int, Entry] = {}
         self.fresh = True
         for key, value in found:
             if key == META:
                 self._meta, self.fresh = msgspec.msgpack.decode(value, type=_Meta), False
             elif key == IMAGE:
-                image = msgspec.msgpack.decode(value, type=Image)
+                image = msgspec.msgpack.decode(value, type=Snapshot)
             elif key.startswith(ENTRY):
                 entries[int.from_bytes(key[2:], "big")] = msgspec.msgpack.decode(value, type=Entry)
         self._write_number = 0
@@ -55,7 +55,7 @@
         self.held = self._read(image, entries)
         self._spoilt = len(self.held.entries) < len(entries) or self.held.lost != self._meta.lost
 
-    def _read(self, image: Image | None, entries: dict[int, Entry]) -> Held:
+    def _read(self, image: Snapshot | None, entries: dict[int, Entry]) -> StoredState:
         """The log as far as it goes without a gap. What stands behind one counts as lost."""
         meta, lost = self._meta, self._meta.lost
         kept: list[Entry] = []
@@ -65,7 +65,7 @@
         if behind:
             term = max(meta.term, *(entries[index].term for index in behind))
             lost = max(lost or (0, 0), (term, max(behind)))
-        return Held(meta.id, meta.term, meta.vote, image, meta.first, meta.before, tuple(kept), lost)
+        return StoredState(meta.id, meta.term, meta.vote, image, meta.first, meta.before, tuple(kept), lost)
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -83,14 +83,14 @@
         out = self._repair()
         for deed in deeds:
             match deed:
-                case Meta(term, vote):
+                case HardState(term, vote):
                     self._meta.term, self._meta.vote = term, vote
                     out.append((META, msgspec.msgpack.encode(self._meta)))
-                case Add(index, entry):
+                case AppendToLog(index, entry):
                     out.append(self._add(index, entry))
-                case Cut(index):
+                case TruncateLog(index):
                     out += self._remove([at for at in self._in_file if at > index])
-                case Whole(id, meta, image, first, before, entries, lost):
+                case ReplaceLog(id, meta, image, first, before, entries, lost):
                     out += self._remove(list(self._in_file))
                     self._meta = _Meta(id, meta.term, meta.vote, first, before, lost, self._meta.names)
                     out.append((META, msgspec.msgpack.encode(self._meta)))
@@ -139,11 +139,11 @@
     ) -> None:
         """`done` is told the last number of each write, and what went wrong."""
         self._storage, self._write, self._done = storage, write, done
-        self._waiting: list[Store] = []
+        self._waiting: list[Persist] = []
         self._under_way = self._broken = False
 
-    def keep(self, store: Store) -> None:
-        if self._broken and not any(isinstance(deed, Whole) for deed in store.deeds):
+    def keep(self, store: Persist) -> None:
+        if self._broken and not any(isinstance(deed, ReplaceLog) for deed in store.writes):
             return
         self._waiting.append(store)
         self._next()
@@ -152,7 +152,7 @@
         if self._under_way or not self._waiting:
             return
         number = self._waiting[-1].number
-        deeds = [deed for store in self._waiting for deed in store.deeds]
+        deeds = [deed for store in self._waiting for deed in store.writes]
         self._waiting, self._under_way = [], True
         self._write(self._storage.puts(deeds, number)).add_done_callback(
             lambda future: self._ended(number, future.exception())
--- a/sableford/control/roster_manager.py
+++ b/sableford/control/roster_manager.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 from sableford.common.log import EventLog
+from sableford.consensus.raft_node import put
 from sableford.control.coordinator import Coordinator
 from sableford.control.record_driver import RecordDriver
 from sableford.control.retirement import Phase, begin_retirement, may_complete, phase_of
 from sableford.control.roster import Outcome, Roster
 from sableford.control.voter_manager import VoterManager
 from sableford.control.voter_selection import Tolerance
-from sableford.fleet.record.core import put
 
 ROSTER_KEY = "roster"  # of the record's values
 REMOVE_RETRY_MS = 100.0  # before a store that still votes is looked at again
@@ -123,7 +123,7 @@
 
     def _is_voter(self, name: str) -> bool:
         """Whether it votes, is to, or nobody can say."""
-        voters = self._driver.settled_voters()
+        voters = self._driver.stable_voters()
         record = self._driver.record
         return voters is None or record is None or name in {*voters, *record.wanted}
 
--- a/sableford/control/service.py
+++ b/sableford/control/service.py
@@ -22,6 +22,7 @@
 from sableford.common.disk import Disk
 from sableford.common.log import EventLog
 from sableford.common.settings import Settings
+from sableford.consensus.raft_node import RaftNode
 from sableford.control import orders
 from sableford.control.configuration_keeper import ConfigurationKeeper
 from sableford.control.coordinator import ALL_ROLES, Coordinator
@@ -47,7 +48,6 @@
 from sableford.control.timing import QUORUM_FRESH_MS
 from sableford.control.voter_manager import VoterManager
 from sableford.control.voter_selection import Tolerance
-from sableford.fleet.record.core import Record
 from sableford.transport.http import Answer, Request
 from sableford.transport.link import Link
 from sableford.transport.link_pool import LinkPool
@@ -121,7 +121,7 @@
             self._roster_manager,
             leads=lambda: self.leads,
             leader=self._other_leader,
-            voters=self.driver.settled_voters,
+            voters=self.driver.stable_voters,
             now=lambda: self.now(),
             log=self.log,
         )
@@ -153,7 +153,7 @@
         self.loop.call_soon(self.tick)
 
     @property
-    def record(self) -> Record:
+    def record(self) -> RaftNode:
         """This machine's side of the record, once started."""
         assert self.driver.record is not None, "not started"
         return self.driver.record
@@ -168,9 +168,9 @@
         """The roster in force, as far as is known here."""
         return self._roster_manager.roster
 
-    def settled_voters(self) -> dict[str, str] | None:
+    def stable_voters(self) -> dict[str, str] | None:
         """Who votes, by name with the id of each one's disk; None while that is changing."""
-        return self.driver.settled_voters()
+        return self.driver.stable_voters()
 
     # Time
 
@@ -250,7 +250,7 @@
 
     def _apply_values(self) -> None:
         """What the record adds up to now."""
-        values = self.record.machine.values
+        values = self.record.state_machine.values
         self._configuration.apply(values)
         self._roster_manager.apply(values)
 
--- a/sableford/control/simulation/cluster.py
+++ b/sableford/control/simulation/cluster.py
@@ -43,7 +43,7 @@
 
 def _record_modules_with(constant: str) -> list[ModuleType]:
     """The record's modules that read that constant; there must be one, or the walks meet no snapshot."""
-    record = [module for name, module in sys.modules.items() if name.startswith("sableford.fleet.record.")]
+    record = [module for name, module in sys.modules.items() if name.startswith("sableford.consensus.")]
     found = [module for module in record if hasattr(module, constant)]
     if not found:
         raise LookupError(f"no module of the record has {constant}")
--- a/sableford/control/simulation/walk.py
+++ b/sableford/control/simulation/walk.py
@@ -133,7 +133,7 @@
         leader = self.cluster.leader()
         if leader is None:
             return False
-        voters = leader.program.control.settled_voters()
+        voters = leader.program.control.stable_voters()
         return voters is not None and len(voters) >= 2 * self.shape.losses + 1 and self._caught_up()
 
     def _caught_up(self) -> bool:
--- a/sableford/control/voter_manager.py
+++ b/sableford/control/voter_manager.py
@@ -55,14 +55,14 @@
             self._leaving_since = now
             self._presence.observe(now, live_stores, {*self._roster().stores, *record.voters()})
             return
-        voters = record.settled_voters()
+        voters = record.stable_voters()
         if voters is not None:
             self._select(now, voters)
 
     def voters_changed(self, now: float, leads: bool) -> None:
         """What was wanted was decided on other voters: acted on now, two changes could undo each other for
         ever."""
-        voters = self._driver.settled_voters()
+        voters = self._driver.stable_voters()
         if leads and voters is not None and voters != self._selected_from:
             self.update(now, leads)
 
--- a/sableford/fleet/actor.py
+++ b/sableford/fleet/actor.py
@@ -17,13 +17,14 @@
 import msgspec
 
 from sableford.common.serial_executor import SerialExecutor
+from sableford.consensus import effects as raft_effects
+from sableford.consensus import file_disk as disk
+from sableford.consensus import messages as raft_messages
+from sableford.consensus.effects import LogEvent, ProposalResult
+from sableford.consensus.log_files import Found, LogFiles
+from sableford.consensus.raft_node import RaftNode, put
 from sableford.fleet.membership import words as member_words
 from sableford.fleet.membership.core import Changed, Members, Twin
-from sableford.fleet.record import core as record_core
-from sableford.fleet.record import disk
-from sableford.fleet.record import words as record_words
-from sableford.fleet.record.core import Answer, Record, Said, put
-from sableford.fleet.record.store import Found, Store
 from sableford.fleet.seat import Seat
 from sableford.fleet.words import Post
 from sableford.net.limits import Limits
@@ -79,13 +80,13 @@
         self._seat, self._clock, self._limits, self._log, self._console = seat, clock, limits, log, console
         self._seed, self._birth = crc32(seed.encode()), int.from_bytes(os.urandom(6), "little")
         self._names = list(seat.peers)
-        kinds = member_words.Words | record_words.Words | Told
+        kinds = member_words.Words | raft_messages.RaftMessage | Told
         self._post = Post(seat.name, self._birth, kinds)
         self._line: asyncio.DatagramTransport | None = None
         self._file_calls = SerialExecutor("record")
-        self._store: Store | None = None
+        self._store: LogFiles | None = None
         self._members: Members | None = None
-        self._record: Record | None = None
+        self._record: RaftNode | None = None
         self._due: deque = deque()  # stores not yet given to the hand
         self._keeping = self._opening = False
         self._disk = ""  # what is wrong with it
@@ -237,7 +238,7 @@
         name, folder = self._seat.name, Path(self._seat.folder)
 
         def work() -> Found:
-            self._store = Store(disk.opened(folder), name)
+            self._store = LogFiles(disk.opened(folder), name)
             return self._store.open()
 
         def done(future: asyncio.Future) -> None:
@@ -257,7 +258,7 @@
         for said in found.said:
             self._log.say("record_folder", folder=self._seat.folder, problem=said)
         self._disk = ""
-        self._record = Record(self._seat.name, self._birth, self._seat.voters, found.held, now, self._seed)
+        self._record = RaftNode(self._seat.name, self._birth, self._seat.voters, found.held, now, self._seed)
         record = self._record
         self._log.say("record_opened", last=record.last, term=record.term, standing=record.standing.name)
         if found.failed:
@@ -270,7 +271,7 @@
         self._keeping = True
         batch, store = list(self._due), self._store
         self._due.clear()
-        deeds = [deed for store_asked in batch for deed in store_asked.deeds]
+        deeds = [deed for store_asked in batch for deed in store_asked.writes]
 
         def done(future: asyncio.Future) -> None:
             if not future.cancelled():
@@ -305,20 +306,20 @@
     def _do(self, effects: list) -> None:
         for effect in effects:
             match effect:
-                case record_core.Store():
+                case raft_effects.Persist():
                     self._due.append(effect)
-                case record_core.Send(to, word):
+                case raft_effects.Send(to, word):
                     self._send(to, "", word)
-                case Answer(number, yes, index, why):
+                case ProposalResult(number, yes, index, why):
                     if (reply := self._replies.pop(number, None)) is not None:
                         reply.put((yes, index, why))
-                case Said(event, facts):
+                case LogEvent(event, facts):
                     self._log.say(event, **facts)
                 case Changed(name, state, birth, why):
                     self._log.say("member", member=name, state=state.name, birth=birth, why=why)
                 case Twin(name, births):
                     self._log.say("twins", member=name, births=births)
-                case record_core.Settled() | record_core.Restored():
+                case raft_effects.Committed() | raft_effects.SnapshotInstalled():
                     pass
                 case _:
                     self._send(effect.to, effect.place, effect.word)
@@ -363,8 +364,8 @@
                 "last": record.last,
                 "kept": record.durable,
                 "voters": record.voters(),
-                "stopped": record.machine.stopped,
-                "values": len(record.machine.values),
+                "stopped": record.state_machine.stopped,
+                "values": len(record.state_machine.values),
             }
         return told | {"disk": self._disk, "passed_over": dict(self._post.passed_over)}
 
@@ -378,10 +379,10 @@
 class _Reading:
     """Takes a read's answer and passes on the value that stood there by then."""
 
-    def __init__(self, message: Asked, record: Record) -> None:
+    def __init__(self, message: Asked, record: RaftNode) -> None:
         self._message, self._record = message, record
 
     def put(self, answer: tuple[bool, int, str]) -> None:
         yes, index, why = answer
-        value = self._record.machine.values.get(self._message.key)
+        value = self._record.state_machine.values.get(self._message.key)
         self._message.reply.put((yes, index, value.data if yes and value else why.encode() if why else None))
--- a/sableford/fleet/trial.py
+++ b/sableford/fleet/trial.py
@@ -38,7 +38,7 @@
         self.words: Counter[str] = Counter()  # sent, by sender
         self.bytes: Counter[str] = Counter()
         self._size = size or (lambda word: 0)
-        self._draw = Random(seed)
+        self._random = Random(seed)
         self._events: list[tuple[float, int, str, Callable[[], None]]] = []
         self._number = 0
 
@@ -102,11 +102,11 @@
     def _send(self, core: Core, to: str, word: object) -> None:
         self.words[core.name] += 1
         self.bytes[core.name] += self._size(word)
-        if to not in self.cores or self.cut(core.name, to) or self._draw.random() < self.loss:
+        if to not in self.cores or self.cut(core.name, to) or self._random.random() < self.loss:
             return
 
         def arrive(birth: int = core.birth) -> None:
             other = self.cores[to]
             self._do(other, other.heard(self.now, core.name, birth, word))
 
-        self.at(self.now + self.way * self._draw.uniform(0.5, 1.5), to, arrive)
+        self.at(self.now + self.way * self._random.uniform(0.5, 1.5), to, arrive)
--- a/sableford/rig/disk.py
+++ b/sableford/rig/disk.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from random import Random
 
-from sableford.fleet.record.disk import RealDisk
+from sableford.consensus.file_disk import RealDisk
 from sableford.rig.plan import HUNG
 
 SLOW = 5.0  # s a flush takes
--- a/sableford/rig/launch.py
+++ b/sableford/rig/launch.py
@@ -26,7 +26,7 @@
         real, off = time.time, given.clock_ms / 1000.0
         time.time = lambda: real() + off
     if given.disk:
-        from sableford.fleet.record import disk
+        from sableford.consensus import file_disk as disk
         from sableford.rig.disk import LyingDisk
 
         disk.opened = lambda folder: LyingDisk(given.disk, given.seed, folder)
--- a/tests/control_incidents.py
+++ b/tests/control_incidents.py
@@ -193,7 +193,7 @@
 async def _four_operators_under_one_number(incident: Incident) -> None:
     cluster, stores = incident.cluster, incident.cluster.stores()
     record = cluster.leader().program.control.record
-    before = record.machine.last
+    before = record.state_machine.last
     for _ in range(8):
         base = incident.revision
         bodies = [incident.body() for _ in range(4)]
@@ -207,7 +207,7 @@
         won = bodies[verdicts.index((200, 200))]
         read = await incident.call(cluster.leader(), "GET", "/v1/config/read")
         assert canonical(orjson.loads(read.body)) == won
-    assert record.machine.last - before < 2 * 8, "those that lose are not written"
+    assert record.state_machine.last - before < 2 * 8, "those that lose are not written"
 
 
 def shows_of_four_operators_under_one_number_one_is_confirmed_both_times_it_asks() -> None:
--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -501,7 +501,7 @@
     leader = group.led()
     stay = sorted(name for name in "abc" if name != leader.name)[:1] + [leader.name]
     group.want(stay)  # no store may be lost: two of three seats are left, and nobody is to come
-    assert group.run(3000.0, lambda: sorted(group.led().settled_voters() or {}) == sorted(stay))
+    assert group.run(3000.0, lambda: sorted(group.led().stable_voters() or {}) == sorted(stay))
 
 
 def shows_voters_bear_the_loss_of_a_zone_again_after_one_was_lost() -> None:
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -16,6 +16,12 @@
 
 from msgspec.structs import replace
 
+from sableford.consensus import replication
+from sableford.consensus.effects import OwnVoteCounts
+from sableford.consensus.messages import AppendRequest, AppendResponse
+from sableford.consensus.raft_node import RaftNode
+from sableford.consensus.raft_state import Learner
+from sableford.consensus.state_machine import StateMachine
 from sableford.control import configuration_keeper, order_process, orders, roster_manager
 from sableford.control.member_client import MemberClient
 from sableford.control.protocol import Update
@@ -25,12 +31,6 @@
 from sableford.control.simulation.judges import Finding
 from sableford.control.simulation.walk import ControlSimulation, Shape
 from sableford.control.workers import Worker, WorkerTable
-from sableford.fleet.record import replication
-from sableford.fleet.record.core import Record
-from sableford.fleet.record.effects import OwnVote
-from sableford.fleet.record.machine import Machine
-from sableford.fleet.record.state import Learner
-from sableford.fleet.record.words import Append, Appended
 from sableford.transport.frames import Frame
 from sableford.transport.link import Link
 from sableford.transport.messages import PeerRequest
@@ -135,9 +135,9 @@
 def term_not_compared(original: Callable) -> Callable:
     """Entries of an older term, and their answers, pass for the present one's."""
 
-    def heard(self: Record, now: float, sender: str, birth: int, word: Any) -> Any:
-        old = isinstance(word, Append) and word.term < self.term
-        other = isinstance(word, Appended) and self.leads
+    def heard(self: RaftNode, now: float, sender: str, birth: int, word: Any) -> Any:
+        old = isinstance(word, AppendRequest) and word.term < self.term
+        other = isinstance(word, AppendResponse) and self.leads
         return original(self, now, sender, birth, replace(word, term=self.term) if old or other else word)
 
     return heard
@@ -146,8 +146,8 @@
 def answered_before_synced(original: Callable) -> Callable:
     """Votes and entries are spoken of before the disk has them."""
 
-    def keep(self: Record, *deeds: object, then: list | None = None) -> list:
-        own = [effect for effect in then or [] if isinstance(effect, OwnVote)]
+    def keep(self: RaftNode, *deeds: object, then: list | None = None) -> list:
+        own = [effect for effect in then or [] if isinstance(effect, OwnVoteCounts)]
         told = [effect for effect in then or [] if effect not in own]
         return [*original(self, *deeds, then=own), *told]
 
@@ -161,7 +161,7 @@
 def newcomer_counted_at_once(original: Callable) -> Callable:
     """How far a joining voter has come is not looked at."""
 
-    def change(self: Record, now: float) -> list:
+    def change(self: RaftNode, now: float) -> list:
         self._learners = {name: Learner(one.id, True, one.heard) for name, one in self._learners.items()}
         return original(self, now)
 
@@ -171,7 +171,7 @@
 def newcomer_counts_as_holding_all(original: Callable) -> Callable:
     """A voter that has just come is counted for entries that it was not sent."""
 
-    def set_voters(self: Record) -> None:
+    def set_voters(self: RaftNode) -> None:
         before = set(self._followers)
         original(self)
         for name in self._followers.keys() - before:
@@ -192,7 +192,7 @@
 def entry_of_another_term_kept(original: Callable) -> Callable:
     """A follower does not compare the term of the entry before."""
 
-    def appended(self: Record, now: float, sender: str, word: Append) -> Any:
+    def appended(self: RaftNode, now: float, sender: str, word: AppendRequest) -> Any:
         if word.prev <= self.last and word.prev >= self.first:
             word = replace(word, prev_term=self.term_at(word.prev))
         return original(self, now, sender, word)
@@ -273,33 +273,35 @@
     "a member's lease is not checked": Mistake(
         MemberClient, "holds_lease", lease_not_checked, {"stale member", "drain"}, FROZEN
     ),
-    "a leader is not fenced": Mistake(Record, "fresh", leader_not_fenced, {"stale member", "drain"}, LEAVING),
+    "a leader is not fenced": Mistake(
+        RaftNode, "fresh", leader_not_fenced, {"stale member", "drain"}, LEAVING
+    ),
     "late heartbeats are taken": Mistake(WorkerTable, "put", late_beat_taken, {"drain"}, LEAVING),
     "news of an older term is taken": Mistake(
         MemberClient, "apply_update", news_of_old_term_taken, {"stale member", "went back", "drain"}, LEADERS
     ),
     "entries of an older term are taken": Mistake(
-        Record, "heard", term_not_compared, LOST | {"unforeseen"}, LEADERS
+        RaftNode, "heard", term_not_compared, LOST | {"unforeseen"}, LEADERS
     ),
     "entries after another term's are kept": Mistake(
-        Record, "_appended", entry_of_another_term_kept, LOST | REPEATS | {"unforeseen"}, RACES
+        RaftNode, "_handle_append_request", entry_of_another_term_kept, LOST | REPEATS | {"unforeseen"}, RACES
     ),
     "votes and entries are answered before they are synced": Mistake(
-        Record, "_keep", answered_before_synced, LOST, POWER
+        RaftNode, "_persist", answered_before_synced, LOST, POWER
     ),
     "two changes of voters at once": Mistake(
-        Record, "settled_voters", two_changes_of_voters, STUCK | LOST, SEATS
+        RaftNode, "stable_voters", two_changes_of_voters, STUCK | LOST, SEATS
     ),
     "a newcomer votes before it has caught up": Mistake(
-        Record, "_change_voters", newcomer_counted_at_once, STUCK | LOST, SEATS
+        RaftNode, "_change_voters", newcomer_counted_at_once, STUCK | LOST, SEATS
     ),
     "a newcomer is counted for what it does not hold": Mistake(
-        Record, "_set_voters", newcomer_counts_as_holding_all, STUCK | LOST, SEATS
+        RaftNode, "_set_voters", newcomer_counts_as_holding_all, STUCK | LOST, SEATS
     ),
     "a snapshot is older than what follows it": Mistake(
-        Machine, "image", old_snapshot, LOST | REPEATS | {"unforeseen"}, LONG
+        StateMachine, "snapshot", old_snapshot, LOST | REPEATS | {"unforeseen"}, LONG
     ),
-    "an offer said again is taken again": Mistake(Machine, "known", offers_taken_twice, REPEATS, RACES),
+    "an offer said again is taken again": Mistake(StateMachine, "known", offers_taken_twice, REPEATS, RACES),
     "an answer is given to the next call that waits": Mistake(
         PendingCalls, "resolve", next_answer_taken, {"wrong answer", "unforeseen"}
     ),
--- a/tests/control_orders.py
+++ b/tests/control_orders.py
@@ -177,7 +177,7 @@
             assert await _replace(control, clock, revision - 1, config(revision)) == 200, revision
             assert await _replace(control, clock, revision - 1, config(revision, "b") | {"x": 1}) != 200
         assert control.state.revision == 300
-        value = control.record.machine.values["config"].data
+        value = control.record.state_machine.values["config"].data
         assert len(value) < 50 * order_history.RECENT * 2, len(value)  # not all marks with each change
         # A day later nobody sends them again, and what is kept stays bounded.
         control.unix_ms = lambda: 2 * order_history.KEPT_MS
--- a/tests/control_service.py
+++ b/tests/control_service.py
@@ -129,7 +129,7 @@
         for name in names:
             joins(control, name)
         assert await run_core(control, clock, lambda: list(control.roster.stores) == names)
-        return control.record.machine.last
+        return control.record.state_machine.last
 
     entries = asyncio.run(scene())
     assert entries < 12, entries  # the voter's own, and one or two for all; 522 had been seen
--- a/tests/joined.py
+++ b/tests/joined.py
@@ -13,8 +13,8 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
+from sableford.consensus.simulation.walk import Walk
 from sableford.fleet.cli import table
-from sableford.fleet.record.walk import Walk
 from sableford.rig.disk import HANGS
 from sableford.rig.plan import HUNG, Fault, read_plan
 from sableford.rig.world import Outcome, World, story
@@ -164,7 +164,7 @@
         async def agree() -> bool:
             records = [await self.record(name) for name in self.world.hosts if name not in but]
             leaders = {record.get("leader", "") for record in records}
-            sound = all(record.get("standing") in ("SOUND", "LEARNER") for record in records)
+            sound = all(record.get("standing") in ("VOTING", "LEARNER") for record in records)
             return sound and len(leaders) == 1 and leaders != {""}
 
         await self.until(f"agreement of all but {but}", agree)
@@ -309,7 +309,7 @@
         third = next(name for name in scene.world.hosts if name not in (older, *still.who))
         await scene.leaderless(third)
         await scene.end(fault)
-        await scene.says(older, "record_standing", "STRANGER")
+        await scene.says(older, "record_standing", "REPLACED")
         await scene.end(still)
         await scene.settled()
         names["older"] = older
@@ -318,7 +318,7 @@
             fault = await scene.begin("kill", name, folder=folder)
             await scene.writes()
             await scene.end(fault)
-            await scene.says(name, "record_standing", "STRANGER")
+            await scene.says(name, "record_standing", "REPLACED")
             await scene.settled()
             names[folder] = name
         await scene.writes()
@@ -328,7 +328,7 @@
     for folder, said in (("older", "heard of entry"), ("emptied", "knows another folder"), ("other", "")):
         told = events(logs[names[folder]], "record_standing")
         stood = [line["standing"] for line in told]
-        assert "STRANGER" in stood and stood[-1] == "SOUND", (folder, stood)
+        assert "REPLACED" in stood and stood[-1] == "VOTING", (folder, stood)
         assert any(said in line["why"] for line in told), (folder, told)
     problems = [line["problem"] for line in events(logs[names["other"]], "record_folder")]
     others = [name for name in logs if name != names["other"]]
--- a/tests/record.py
+++ b/tests/record.py
@@ -5,50 +5,53 @@
 
 import msgspec
 
-from sableford.fleet.record import core as decided
-from sableford.fleet.record.core import Add, Meta, Record, Send, Whole, put
-from sableford.fleet.record.disk import RealDisk
-from sableford.fleet.record.explore import Bounds, Wrong, explore
-from sableford.fleet.record.machine import Machine
-from sableford.fleet.record.store import Store, recover
-from sableford.fleet.record.walk import MemoryDisk, Walk
-from sableford.fleet.record.words import Appended, Entry, Kind
-
-
-class NoLook(Record):
+from sableford.consensus import effects as raft_effects
+from sableford.consensus.effects import AppendToLog, HardState, ReplaceLog, Send
+from sableford.consensus.file_disk import RealDisk
+from sableford.consensus.log_files import LogFiles, recover
+from sableford.consensus.messages import AppendResponse, Entry, Kind
+from sableford.consensus.raft_node import RaftNode, put
+from sableford.consensus.simulation.explorer import Bounds, Wrong, explore
+from sableford.consensus.simulation.walk import MemoryDisk, Walk
+from sableford.consensus.state_machine import StateMachine
+
+
+class NoLook(RaftNode):
     """Votes for whoever asks first, however little it holds."""
 
-    def _asked(self, now, sender, word):
-        return super()._asked(now, sender, msgspec.structs.replace(word, last=10**6, last_term=10**6))
+    def _handle_vote_request(self, now, sender, word):
+        return super()._handle_vote_request(
+            now, sender, msgspec.structs.replace(word, last=10**6, last_term=10**6)
+        )
 
 
-class Hasty(Record):
+class Hasty(RaftNode):
     """Says what it voted before that is on disk."""
 
-    def _keep(self, *deeds, then=None):
-        votes = [e for e in then or () if not (isinstance(e, Send) and isinstance(e.word, Appended))]
-        if votes and all(isinstance(deed, Meta) for deed in deeds):
-            rest = [effect for effect in votes if isinstance(effect, decided.OwnVote)]
+    def _persist(self, *deeds, then=None):
+        votes = [e for e in then or () if not (isinstance(e, Send) and isinstance(e.word, AppendResponse))]
+        if votes and all(isinstance(deed, HardState) for deed in deeds):
+            rest = [effect for effect in votes if isinstance(effect, raft_effects.OwnVoteCounts)]
             said = [effect for effect in votes if effect not in rest]
-            return super()._keep(*deeds, then=rest) + said
-        return super()._keep(*deeds, then=then)
+            return super()._persist(*deeds, then=rest) + said
+        return super()._persist(*deeds, then=then)
 
 
-class Eager(Record):
+class Eager(RaftNode):
     """Says that it holds entries before they are on disk."""
 
-    def _keep(self, *deeds, then=None):
-        if then and any(isinstance(e, Send) and isinstance(e.word, Appended) for e in then):
-            return super()._keep(*deeds) + list(then)
-        return super()._keep(*deeds, then=then)
+    def _persist(self, *deeds, then=None):
+        if then and any(isinstance(e, Send) and isinstance(e.word, AppendResponse) for e in then):
+            return super()._persist(*deeds) + list(then)
+        return super()._persist(*deeds, then=then)
 
 
-class Meek(Record):
+class Meek(RaftNode):
     """Takes entries from a leader of an earlier term, over what was agreed on."""
 
-    def _appended(self, now, sender, word):
+    def _handle_append_request(self, now, sender, word):
         later = msgspec.structs.replace(word, term=max(word.term, self.term))
-        return super()._appended(now, sender, later)
+        return super()._handle_append_request(now, sender, later)
 
 
 def shows_all_orders_of_one_election_and_of_a_crash_with_a_slow_disk_keep_one_order_of_entries() -> None:
@@ -84,13 +87,13 @@
         one.match = leader.last
     leader.durable = leader.last
     before = leader.commit
-    leader._agree()
+    leader._advance_commit()
     assert leader.commit == before
     leader.entries.append(Entry(leader.term, Kind.NOTHING))
     leader.durable = leader.last
     for one in leader._followers.values():
         one.match = leader.last
-    leader._agree()
+    leader._advance_commit()
     assert leader.commit == leader.last
 
 
@@ -110,12 +113,14 @@
         walk.run(30)
         told += walk.story
     said = "\n".join(told)
-    counts = [said.count(word) for word in ("'STRANGER'", "'MAIMED'", "readmitted", "fetched what it lost")]
+    counts = [
+        said.count(word) for word in ("'REPLACED'", "'INCOMPLETE'", "readmitted", "fetched what it lost")
+    ]
     assert counts[0] > 20 and counts[1] > 1 and counts[2] > 20 and counts[3] > 1, counts
 
 
 def shows_an_entry_of_an_unknown_kind_stops_its_reader_there_and_says_so() -> None:
-    machine = Machine()
+    machine = StateMachine()
     assert machine.apply(1, Entry(1, Kind.PUT, data=put("a", b"1")))
     assert not machine.apply(2, Entry(1, 77)) and "kind 77" in machine.stopped
     assert not machine.apply(3, Entry(1, Kind.PUT, data=put("a", b"2"))) and machine.last == 1
@@ -124,11 +129,11 @@
 def folder() -> tuple[MemoryDisk, bytes]:
     """Ten entries, each flushed for itself."""
     disk = MemoryDisk()
-    store = Store(disk, "a")
+    store = LogFiles(disk, "a")
     store.open()
-    store.keep([Meta(3, "b")])
+    store.keep([HardState(3, "b")])
     for index in range(1, 11):
-        store.keep([Add(index, Entry(3, Kind.PUT, "x#1", index, put("k", b"%d" % index)))])
+        store.keep([AppendToLog(index, Entry(3, Kind.PUT, "x#1", index, put("k", b"%d" % index)))])
     return disk, disk.files["log-1"]
 
 
@@ -154,42 +159,46 @@
 def shows_damage_is_remembered_over_a_restart_and_anothers_folder_is_set_aside() -> None:
     disk, log = folder()
     disk.files["log-1"] = disk.kept["log-1"] = log[:200] + b"?" + log[201:]
-    assert Store(disk, "a").open().held.lost == (3, 10)
-    again = Store(disk, "a").open()
+    assert LogFiles(disk, "a").open().held.lost == (3, 10)
+    again = LogFiles(disk, "a").open()
     assert again.held.lost == (3, 10) and again.held.id != "new"
-    other = Store(disk, "c").open()
+    other = LogFiles(disk, "c").open()
     assert other.held.entries == () and "the folder is a's" in other.said
     assert [name for name in disk.files if name.startswith("aside-log")], disk.files.keys()
 
 
 def shows_a_snapshot_carries_ten_thousand_entries_over_a_restart_and_a_bad_one_is_fetched() -> None:
     disk = MemoryDisk()
-    store = Store(disk, "a")
+    store = LogFiles(disk, "a")
     held = store.open().held
-    core = Record("a", 1, ["a"], held, 0.0, 1)
+    core = RaftNode("a", 1, ["a"], held, 0.0, 1)
     entries = [Entry(1, Kind.PUT, "x#1", at, put(f"k{at % 50}", b"%d" % at)) for at in range(1, 10_501)]
     core.term = 1
     core.entries.extend(entries)
-    effects = core._settle(10_500)
-    stores = [effect for effect in effects if isinstance(effect, decided.Store)]
+    effects = core._apply_committed(10_500)
+    stores = [effect for effect in effects if isinstance(effect, raft_effects.Persist)]
     for effect in stores:
-        store.keep(effect.deeds)
-    found = Store(disk, "a").open()
-    back = Record("a", 2, ["a"], found.held, 0.0, 1)
-    assert back.machine.last == 10_500 and back.machine.values == core.machine.values and not found.said
+        store.keep(effect.writes)
+    found = LogFiles(disk, "a").open()
+    back = RaftNode("a", 2, ["a"], found.held, 0.0, 1)
+    assert (
+        back.state_machine.last == 10_500
+        and back.state_machine.values == core.state_machine.values
+        and not found.said
+    )
     log = next(text for name, text in disk.files.items() if name.startswith("log-"))
     assert back.first == 9501 and len(log) < 120_000
     disk.files["image-10500"] = disk.files["image-10500"][:-1]
-    bad = Store(disk, "a").open()
-    assert bad.held.image is None and bad.held.lost == (1, 10_500), bad.said
+    bad = LogFiles(disk, "a").open()
+    assert bad.held.snapshot is None and bad.held.lost == (1, 10_500), bad.said
 
 
 def shows_a_real_folder_is_one_processes_own_and_keeps_what_was_flushed() -> None:
     with tempfile.TemporaryDirectory() as place:
         disk = RealDisk(Path(place, "fleet"))
-        store = Store(disk, "a")
+        store = LogFiles(disk, "a")
         found = store.open()
-        store.keep([Meta(1, "a"), Add(1, Entry(1, Kind.NOTHING))])
+        store.keep([HardState(1, "a"), AppendToLog(1, Entry(1, Kind.NOTHING))])
         try:
             RealDisk(Path(place, "fleet"))
         except BlockingIOError:
@@ -197,12 +206,12 @@
         else:
             raise AssertionError("two hold one folder")
         disk.release()
-        again = Store(RealDisk(Path(place, "fleet")), "a").open()
+        again = LogFiles(RealDisk(Path(place, "fleet")), "a").open()
         assert (again.held.id, again.held.vote, len(again.held.entries)) == (found.held.id, "a", 1)
-        whole = Whole("x", Meta(2, ""), None, 1, 0, ())
+        whole = ReplaceLog("x", HardState(2, ""), None, 1, 0, ())
         store._broken = True
         try:
-            store.keep([Meta(2, "")])
+            store.keep([HardState(2, "")])
         except OSError as problem:
             assert "earlier" in str(problem)
         else:
--- a/tests/record_disks.py
+++ b/tests/record_disks.py
@@ -4,24 +4,30 @@
 
 import msgspec
 
-from sableford.control.record_storage import RecordStorage, RecordWriter
-from sableford.fleet.record import words
-from sableford.fleet.record.constants import DATAGRAMS, STREAMS
-from sableford.fleet.record.core import (
-    Add,
-    Cut,
-    Held,
-    Meta,
-    Record,
+from sableford.consensus import messages as words
+from sableford.consensus.constants import DATAGRAMS, STREAMS
+from sableford.consensus.effects import (
+    AppendToLog,
+    HardState,
+    Persist,
+    ReplaceLog,
     Send,
     Standing,
-    Store,
-    Whole,
-    put,
+    StoredState,
+    TruncateLog,
+)
+from sableford.consensus.log_files import recover
+from sableford.consensus.messages import (
+    AppendRequest,
+    AppendResponse,
+    Entry,
+    FetchRequest,
+    Kind,
+    SnapshotChunk,
 )
-from sableford.fleet.record.growth import Group
-from sableford.fleet.record.store import recover
-from sableford.fleet.record.words import Append, Appended, Entry, Fetch, Kind, Snap
+from sableford.consensus.raft_node import RaftNode, put
+from sableford.consensus.simulation.growth import Group
+from sableford.control.record_storage import RecordStorage, RecordWriter
 from tests.record_growth import level, value
 
 # Disks that refuse
@@ -30,23 +36,23 @@
 def shows_a_write_after_one_that_failed_makes_nothing_good() -> None:
     """Of two writes under way the first failed and the second did not: the voter acknowledged entries that
     its disk lacked."""
-    core = Record("b", 1, ["a", "b", "c"], Held("folder of b", 1), 0.0, 1)
+    core = RaftNode("b", 1, ["a", "b", "c"], StoredState("folder of b", 1), 0.0, 1)
     core._based = core._voters = dict.fromkeys("abc", "")
-    core.standing = Standing.SOUND
+    core.standing = Standing.VOTING
     entries = [Entry(1, Kind.PUT, "a#1", at, put("k", b"%d" % at)) for at in (1, 2, 3)]
     told = []
     for at, entry in enumerate(entries):
-        told += core.heard(1.0, "a", 1, Append("id", 1, at, min(at, 1), 0, 1, 0, (entry,)))
-    numbers = [effect.number for effect in told if isinstance(effect, Store)]
+        told += core.heard(1.0, "a", 1, AppendRequest("id", 1, at, min(at, 1), 0, 1, 0, (entry,)))
+    numbers = [effect.number for effect in told if isinstance(effect, Persist)]
     told = core.failed(2.0, "No space left on device")
     for number in numbers[1:]:
         told += core.stored(2.0, number)
     assert core.standing is Standing.NO_DISK and core.durable == 0
-    assert not [one for one in told if isinstance(one, Send) and isinstance(one.word, Appended)]
+    assert not [one for one in told if isinstance(one, Send) and isinstance(one.word, AppendResponse)]
     [whole] = core.rewrite()
     assert core.rewrite() == []  # one at a time
     core.stored(3.0, whole.number)
-    assert core.standing is Standing.SOUND and core.durable == 3
+    assert core.standing is Standing.VOTING and core.durable == 3
 
 
 def shows_a_full_disk_is_given_a_snapshot_and_not_a_long_log_again_each_second() -> None:
@@ -65,10 +71,10 @@
         assert group.agreed(put("k", b"%d" % number))
     group.run(5000.0)
     assert core.standing is Standing.NO_DISK and 4 <= len(rewritten) <= 9, len(rewritten)
-    size = sum(len(entry.data) for store in rewritten for deed in store.deeds for entry in deed.entries)
+    size = sum(len(entry.data) for store in rewritten for deed in store.writes for entry in deed.entries)
     assert size < 100_000, size
     member.full = False
-    assert group.run(4000.0, lambda: core.commit == leader.commit and core.standing is Standing.SOUND)
+    assert group.run(4000.0, lambda: core.commit == leader.commit and core.standing is Standing.VOTING)
 
 
 class File:
@@ -95,7 +101,7 @@
         self.loop.call_soon(self.loop.stop)
         self.loop.run_forever()
 
-    def opened(self) -> Held:
+    def opened(self) -> StoredState:
         return RecordStorage(list(self.keys.items())).held
 
 
@@ -111,17 +117,19 @@
     def entry(term: int, number: int) -> Entry:
         return Entry(term, Kind.PUT, "a#1", number, b"x")
 
-    writer.keep(Store(1, (Meta(3, ""), *(Add(at, entry(3, at)) for at in range(1, 11)))))
+    writer.keep(Persist(1, (HardState(3, ""), *(AppendToLog(at, entry(3, at)) for at in range(1, 11)))))
     file.end()
-    writer.keep(Store(2, (Cut(7), Add(8, entry(4, 8)))))
-    writer.keep(Store(3, (Add(9, entry(4, 9)),)))  # goes with the next write, and so with what failed
+    writer.keep(Persist(2, (TruncateLog(7), AppendToLog(8, entry(4, 8)))))
+    writer.keep(
+        Persist(3, (AppendToLog(9, entry(4, 9)),))
+    )  # goes with the next write, and so with what failed
     file.end(problem=True)
     assert file.ended == [(1, True), (2, False)] and not file.writes
     assert file.opened().entries == tuple(entry(3, at) for at in range(1, 11))
-    writer.keep(Store(4, (Meta(5, ""),)))
+    writer.keep(Persist(4, (HardState(5, ""),)))
     assert not file.writes  # nothing but a whole writing is taken
     kept = (*(entry(3, at) for at in range(1, 8)), entry(4, 8))
-    writer.keep(Store(5, (Whole(storage._meta.id, Meta(5, ""), None, 1, 0, kept),)))
+    writer.keep(Persist(5, (ReplaceLog(storage._meta.id, HardState(5, ""), None, 1, 0, kept),)))
     file.end()
     held = file.opened()
     assert held.entries == kept and held.lost is None and held.term == 5, len(held.entries)
@@ -134,19 +142,19 @@
     entries = [Entry(2, Kind.PUT, "a#1", at, b"x") for at in range(1, 7)]
     for key, data in [
         *storage.begin(["a"]),
-        *storage.puts([Add(at, one) for at, one in enumerate(entries, 1)]),
+        *storage.puts([AppendToLog(at, one) for at, one in enumerate(entries, 1)]),
     ]:
         file.keys[key] = data
     del file.keys[b"re" + (4).to_bytes(8, "big")]
     again = RecordStorage(list(file.keys.items()))
     assert len(again.held.entries) == 3 and again.held.lost == (2, 6)
-    for key, data in again.puts([Add(4, Entry(5, Kind.NOTHING))], 1):
+    for key, data in again.puts([AppendToLog(4, Entry(5, Kind.NOTHING))], 1):
         file.keys.pop(key, None) if data is None else file.keys.update({key: data})
     held = file.opened()
     assert [one.term for one in held.entries] == [2, 2, 2, 5] and held.lost == (2, 6)
-    core = Record("a", 1, ["a", "b", "c"], Held("id", 2, first=40, entries=tuple(entries)), 0.0, 1)
+    core = RaftNode("a", 1, ["a", "b", "c"], StoredState("id", 2, first=40, entries=tuple(entries)), 0.0, 1)
     assert core.last == 0 and core._lost == (2, 45)  # what they stand on is not there
-    assert any(isinstance(one, Store) and isinstance(one.deeds[0], Whole) for one in core.tick(1.0))
+    assert any(isinstance(one, Persist) and isinstance(one.writes[0], ReplaceLog) for one in core.tick(1.0))
     file.loop.close()
 
 
@@ -173,51 +181,51 @@
 
 def shows_messages_of_this_version_and_the_one_before_are_read_by_each_other() -> None:
     for codec in (msgspec.msgpack, msgspec.json):
-        new = Append("i", 1, 2, 1, 2, 3, 4, (Entry(1, 0),), 9, "you")
+        new = AppendRequest("i", 1, 2, 1, 2, 3, 4, (Entry(1, 0),), 9, "you")
         old = codec.decode(codec.encode(new), type=OldAppend)
         assert old.entries == new.entries and old.kept == 4
-        back = codec.decode(codec.encode(old), type=words.Words)
+        back = codec.decode(codec.encode(old), type=words.RaftMessage)
         assert (back.first, back.voter) == (0, "")
-        snap = codec.decode(codec.encode(Snap(9, 0, 5, b"12345", 5)), type=OldSnap)
-        assert codec.decode(codec.encode(snap), type=words.Words).through == 0
+        snap = codec.decode(codec.encode(SnapshotChunk(9, 0, 5, b"12345", 5)), type=OldSnap)
+        assert codec.decode(codec.encode(snap), type=words.RaftMessage).through == 0
 
 
 def shows_a_snapshot_comes_whole_from_and_to_the_version_before() -> None:
     """It neither says how far an answer goes nor holds the snapshot that was begun."""
 
-    class Before(Record):
+    class Before(RaftNode):
         def _serve_snapshot(self, now, sender, word):
             self._transport = DATAGRAMS
             told = super()._serve_snapshot(now, sender, word)
             return [one._replace(word=msgspec.structs.replace(one.word, through=0)) for one in told]
 
-    server = Before("a", 1, ["a"], Held("folder of a"), 0.0, 1)
+    server = Before("a", 1, ["a"], StoredState("folder of a"), 0.0, 1)
     server.entries.append(Entry(1, Kind.PUT, "a#1", 1, put("k", b"x" * 100_000)))
-    server._settle(1)
-    server._fold(0, 0)
-    learner = Record("b", 1, ["a"], Held("folder of b"), 0.0, 1, newcomer=True, transport=STREAMS)
+    server._apply_committed(1)
+    server._compact(0, 0)
+    learner = RaftNode("b", 1, ["a"], StoredState("folder of b"), 0.0, 1, newcomer=True, transport=STREAMS)
     now, asked = 0.0, []
     for _ in range(15):
         now += 100.0
         asked += learner.tick(now)
         while asked:
             fetch = asked.pop(0)
-            if isinstance(fetch, Send) and isinstance(fetch.word, Fetch):
+            if isinstance(fetch, Send) and isinstance(fetch.word, FetchRequest):
                 for answer in server.heard(now, "b", 1, fetch.word):
                     asked += learner.heard(now, "a", 1, answer.word)
-    assert learner.commit == 1 and learner.machine.values["k"].data == b"x" * 100_000
+    assert learner.commit == 1 and learner.state_machine.values["k"].data == b"x" * 100_000
 
 
 def shows_a_follower_of_the_version_before_that_is_behind_a_short_log_is_sent_the_snapshot() -> None:
     """It asks for one only where it is a thousand entries behind, or has been sent a piece."""
 
-    class Before(Record):
-        def _appended(self, now, sender, word):
-            return super()._appended(now, sender, msgspec.structs.replace(word, first=0))
+    class Before(RaftNode):
+        def _handle_append_request(self, now, sender, word):
+            return super()._handle_append_request(now, sender, msgspec.structs.replace(word, first=0))
 
-        def _piece(self, now, sender, word):
+        def _handle_snapshot_chunk(self, now, sender, word):
             self._source = sender
-            return super()._piece(now, sender, msgspec.structs.replace(word, through=0))
+            return super()._handle_snapshot_chunk(now, sender, msgspec.structs.replace(word, through=0))
 
     group = Group("abc", DATAGRAMS)
     leader = group.led()
@@ -263,13 +271,16 @@
     for held in (storage.held, recover("a", folder, "new").held):
         assert (held.id, held.term, held.vote, held.lost) == ("0001020304050607", 3, "c", None)
         assert (held.first, held.before, [entry.term for entry in held.entries]) == (3, 1, [1, 2, 2])
-        core = Record("a", 9, ["a", "b", "c"], held, 0.0, 1)
-        assert core.standing is Standing.HAILING and (core.commit, core.last) == (3, 5)
-        assert core.machine.values["config"].data == b"one" and core.voters()["b"] == "id-b"
-        core._settle(5)
-        assert core.machine.values["config"].data == b"two" and core.machine.known("a#5", 1) == (3, True)
+        core = RaftNode("a", 9, ["a", "b", "c"], held, 0.0, 1)
+        assert core.standing is Standing.ASKING and (core.commit, core.last) == (3, 5)
+        assert core.state_machine.values["config"].data == b"one" and core.voters()["b"] == "id-b"
+        core._apply_committed(5)
+        assert core.state_machine.values["config"].data == b"two" and core.state_machine.known("a#5", 1) == (
+            3,
+            True,
+        )
     # What this version writes to it next leaves a file that reads the same.
-    for key, data in storage.puts([Cut(4), Meta(4, "")], 1):
+    for key, data in storage.puts([TruncateLog(4), HardState(4, "")], 1):
         file.pop(key, None) if data is None else file.update({key: data})
     again = RecordStorage(list(file.items())).held
     assert len(again.entries) == 2 and again.lost is None and again.term == 4
--- a/tests/record_growth.py
+++ b/tests/record_growth.py
@@ -3,19 +3,20 @@
 
 import msgspec
 
-from sableford.fleet.record.constants import DATAGRAMS, STREAMS
-from sableford.fleet.record.core import (
-    Held,
-    Record,
-    Restored,
-    Send,
-    Standing,
-    put,
+from sableford.consensus.constants import DATAGRAMS, STREAMS
+from sableford.consensus.effects import Send, SnapshotInstalled, Standing, StoredState
+from sableford.consensus.messages import (
+    AppendRequest,
+    Entry,
+    FetchRequest,
+    FetchResponse,
+    Kind,
+    SnapshotChunk,
 )
-from sableford.fleet.record.growth import Group, measure
-from sableford.fleet.record.machine import TAKEN_PAIRS, Machine
-from sableford.fleet.record.walk import Walk
-from sableford.fleet.record.words import Append, Entry, Fetch, Fetched, Kind, Snap
+from sableford.consensus.raft_node import RaftNode, put
+from sableford.consensus.simulation.growth import Group, measure
+from sableford.consensus.simulation.walk import Walk
+from sableford.consensus.state_machine import TAKEN_PAIRS, StateMachine
 
 CONFIGURATION = 50_000  # bytes
 
@@ -24,7 +25,7 @@
     return put("config", b"%d " % number + b"x" * size)
 
 
-def level(group: Group, core: Record) -> bool:
+def level(group: Group, core: RaftNode) -> bool:
     return core.commit >= group.led().commit
 
 
@@ -40,13 +41,13 @@
 
 
 def shows_hundreds_of_restarts_leave_no_more_in_a_snapshot_than_its_bound() -> None:
-    machine, index = Machine(), 0
+    machine, index = StateMachine(), 0
     for birth in range(300):
         for number in range(1, 200):
             index += 1
             machine.apply(index, Entry(1, Kind.PUT, f"s1#{birth}", number, put("k", b"v")))
     assert sum(map(len, machine.taken.values())) <= TAKEN_PAIRS
-    assert len(msgspec.msgpack.encode(machine.image({}))) < 300_000
+    assert len(msgspec.msgpack.encode(machine.snapshot({}))) < 300_000
     # Whoever offered last is known still; twice the numbers that all voters may have under way.
     assert machine.known("s1#299", 199) == (index, True) and machine.known("s1#250", 1)
 
@@ -72,7 +73,7 @@
 # Catching up
 
 
-class Old(Record):
+class Old(RaftNode):
     """As before: it has a snapshot only of its newest state, for whoever has fetched half of another."""
 
     def _serve_snapshot(self, now, sender, word):
@@ -80,11 +81,11 @@
         return super()._serve_snapshot(now, sender, word)
 
 
-def fetched(make: type[Record]) -> bool:
+def fetched(make: type[RaftNode]) -> bool:
     """Whether a learner gets on with a snapshot of 400 kB while a new one is made each third round."""
-    held = Held("folder of a")
+    held = StoredState("folder of a")
     server = make("a", 1, ["a"], held, 0.0, 1)
-    learner = Record("b", 1, ["a"], Held("folder of b"), 0.0, 1, newcomer=True)
+    learner = RaftNode("b", 1, ["a"], StoredState("folder of b"), 0.0, 1, newcomer=True)
     now, index = 0.0, 0
 
     def change() -> None:
@@ -92,8 +93,8 @@
         for _ in range(12):
             index += 1
             server.entries.append(Entry(1, Kind.PUT, "a#1", index, put(f"k{index % 400}", b"x" * 1000)))
-        server._settle(index)
-        server._fold(0, 0)
+        server._apply_committed(index)
+        server._compact(0, 0)
 
     for _ in range(40):
         change()
@@ -111,7 +112,7 @@
 
 
 def shows_a_snapshot_that_was_begun_is_served_to_its_end_while_newer_ones_are_made() -> None:
-    assert fetched(Record)
+    assert fetched(RaftNode)
     assert not fetched(Old)
 
 
@@ -126,41 +127,41 @@
     assert group.led().first > group.cores[late].last + 1  # it is not in the leader's log
     core = group.start(late)
     assert group.run(2000.0, lambda: core.commit >= leader.commit), (core.commit, leader.commit)
-    assert core.image is not None and core.standing is Standing.SOUND
+    assert core.snapshot is not None and core.standing is Standing.VOTING
 
 
-def voter(held: Held) -> Record:
+def voter(held: StoredState) -> RaftNode:
     """One of three that votes, and has heard of no leader yet."""
-    core = Record("b", 1, ["a", "b", "c"], held, 0.0, 1)
+    core = RaftNode("b", 1, ["a", "b", "c"], held, 0.0, 1)
     core._based = core._voters = {"a": "id-a", "b": held.id, "c": "id-c"}
-    core.standing = Standing.SOUND
+    core.standing = Standing.VOTING
     return core
 
 
-def fetches(effects: list) -> list[Fetch]:
-    return [one.word for one in effects if isinstance(one, Send) and isinstance(one.word, Fetch)]
+def fetches(effects: list) -> list[FetchRequest]:
+    return [one.word for one in effects if isinstance(one, Send) and isinstance(one.word, FetchRequest)]
 
 
 def shows_a_voter_whose_last_entry_is_not_the_one_before_the_leaders_log_fetches_the_snapshot() -> None:
     """It held an entry of that number from an earlier leader, and the right one was only in a snapshot."""
     entries = tuple(Entry(1, Kind.NOTHING) for _ in range(12))
     for first, prev, behind in ((14, 13, True), (13, 12, True), (12, 12, False)):
-        core = voter(Held("id-b", 2, entries=entries))
-        told = core.heard(1.0, "a", 1, Append("id-a", 3, prev, 2, 80, 1, 80, (), first, "id-b"))
+        core = voter(StoredState("id-b", 2, entries=entries))
+        told = core.heard(1.0, "a", 1, AppendRequest("id-a", 3, prev, 2, 80, 1, 80, (), first, "id-b"))
         assert bool(fetches(told)) is behind, first
 
 
 def shows_a_replaced_voter_goes_on_from_a_snapshot_that_nobody_has_any_more() -> None:
     """It went on asking for the rest of it, and heeded no entries."""
-    core = voter(Held("id-b", 2))
-    beat = Append("id-a", 3, 80, 3, 80, 1, 80, (), 1)  # of a leader that does not name it
-    assert fetches(core.heard(1.0, "a", 1, beat)) == [Fetch("id-b", 0)]
-    core.heard(2.0, "a", 1, Snap(40, 0, 90_000, b"x" * 900, 14_400))
+    core = voter(StoredState("id-b", 2))
+    beat = AppendRequest("id-a", 3, 80, 3, 80, 1, 80, (), 1)  # of a leader that does not name it
+    assert fetches(core.heard(1.0, "a", 1, beat)) == [FetchRequest("id-b", 0)]
+    core.heard(2.0, "a", 1, SnapshotChunk(40, 0, 90_000, b"x" * 900, 14_400))
     for turn in range(1, 100):
         now = 100.0 * turn
         asked = [one.to for one in [*core.heard(now, "a", 1, beat), *core.tick(now)] if isinstance(one, Send)]
         for to in asked if turn > 10 else ():
-            core.heard(now, to, 1, Fetched(3, 1, 2, (Entry(1, 0), Entry(1, 0)), "a", 2))
+            core.heard(now, to, 1, FetchResponse(3, 1, 2, (Entry(1, 0), Entry(1, 0)), "a", 2))
     assert core.commit == 2 and core._fetching is None
 
 
@@ -171,22 +172,22 @@
     group.kill(late)
     for number in range(60):
         assert group.agreed(value(number))
-    leader._fold(0, 0)  # nothing stands behind it that would be settled later
+    leader._compact(0, 0)  # nothing stands behind it that would be settled later
     core = group.start(late)
     told = []
     seen = group.trial.seen
     group.trial.seen = lambda name, effect: (told.append((name, effect)), seen(name, effect))
-    core._piece = lambda now, sender, word: []  # the snapshot is late
+    core._handle_snapshot_chunk = lambda now, sender, word: []  # the snapshot is late
     assert group.run(2000.0, lambda: core.leader != "")
     number = group.offer(late, None)
     assert group.run(2000.0, lambda: core._offers[number].need > 0)
-    del core._piece
+    del core._handle_snapshot_chunk
     assert group.run(2000.0, lambda: number in group.members[late].answers)
-    assert any(name == late and isinstance(effect, Restored) for name, effect in told)
-    assert core.machine.values["config"].data.startswith(b"59 ")
+    assert any(name == late and isinstance(effect, SnapshotInstalled) for name, effect in told)
+    assert core.state_machine.values["config"].data.startswith(b"59 ")
 
 
-def in_flight(leader: Record, name: str) -> int:
+def in_flight(leader: RaftNode, name: str) -> int:
     one = leader._followers[name]
     return sum(len(leader.at(index).data) for index in range(max(one.match + 1, leader.first), one.next))
 
@@ -220,7 +221,7 @@
         for number in range(12):
             assert group.agreed(value(number, 30_000 if transport is DATAGRAMS else 1_000_000))
         for core in group.cores.values():
-            core._fold(0, 0)
+            core._compact(0, 0)
         group.run(500.0)
         group.names.append("d")
         core = group.start("d", newcomer=True)
@@ -257,7 +258,7 @@
         led = group.led()
         number = group.offer(led.name, None)
         assert group.run(5000.0, lambda led=led, number=number: number in group.members[led.name].answers)
-        assert led.machine.values["config"].data.startswith(b"%d " % newest), (turn, led.name)
+        assert led.state_machine.values["config"].data.startswith(b"%d " % newest), (turn, led.name)
         assert group.run(
             10_000.0, lambda core=core: group.led().voters().get(core.name) == core.id and level(group, core)
         )
@@ -268,5 +269,5 @@
     for seed in range(300, 316):
         walk = Walk(seed, voters=3 if seed % 3 else 5, value_bytes=12_000)
         walk.run(30)
-        snapshots += sum(core.image is not None for core in walk.trial.cores.values())
+        snapshots += sum(core.snapshot is not None for core in walk.trial.cores.values())
     assert snapshots > 20, snapshots
--- a/tests/record_leases.py
+++ b/tests/record_leases.py
@@ -4,10 +4,10 @@
 next knows from its voters when that can have been the last time (`earlier_leader_until`).
 """
 
+from sableford.consensus.effects import LogEvent, Persist, StoredState
+from sableford.consensus.raft_node import RaftNode
+from sableford.consensus.simulation.walk import Walk, Wrong
 from sableford.control.timing import QUORUM_FRESH_MS
-from sableford.fleet.record.core import Record
-from sableford.fleet.record.effects import Held, Said, Store
-from sableford.fleet.record.walk import Walk, Wrong
 
 SEEDS = range(50)
 HUNTED = range(90, 300)  # a planted mistake shows in 1 of 100 walks; the first of them is soon met here
@@ -16,7 +16,7 @@
 class LeaseWalk(Walk):
     """Notes at each event which leaders could grant a lease, and what each new leader believes of them."""
 
-    def __init__(self, seed: int, make: type[Record] = Record) -> None:
+    def __init__(self, seed: int, make: type[RaftNode] = RaftNode) -> None:
         self.last_grant: dict[int, float] = {}  # by term
         self.believed: dict[int, float] = {}  # by term: no earlier leader grants anything after that
         super().__init__(seed, lies=(), make=make)
@@ -24,7 +24,7 @@
     def _seen(self, name: str, effect: object) -> None:
         super()._seen(name, effect)
         match effect:
-            case Said("record_leader", facts) if facts["leader"] == name:
+            case LogEvent("record_leader", facts) if facts["leader"] == name:
                 core = self.trial.cores[name]
                 self.believed[core.term] = core.earlier_leader_until + QUORUM_FRESH_MS
         self._look()
@@ -63,12 +63,12 @@
                     )
 
 
-class AsksNobody(Record):
+class AsksNobody(RaftNode):
     """Takes the time since it answered a leader itself for that of all who elected it."""
 
-    def _win(self, now):
-        self._support = {name: -1e12 for name in self._stood}
-        return super()._win(now)
+    def _become_leader(self, now):
+        self._support = {name: -1e12 for name in self._votes}
+        return super()._become_leader(now)
 
 
 def shows_no_earlier_leader_grants_a_lease_later_than_a_new_one_takes_for_the_last() -> None:
@@ -91,13 +91,13 @@
 
 
 def shows_a_leader_that_resigns_counts_as_quiet_from_then_on_only() -> None:
-    core = Record("a", 1, ["a"], Held("id"), 0.0, 1)
+    core = RaftNode("a", 1, ["a"], StoredState("id"), 0.0, 1)
     now = 0.0
     while not core.leads:
         now += 10.0
         for effect in core.tick(now):
-            if isinstance(effect, Store):
+            if isinstance(effect, Persist):
                 core.stored(now, effect.number)
-    assert core._quiet_ms(now + 700.0) == 0.0
+    assert core._unsupported_ms(now + 700.0) == 0.0
     core.resign(now + 700.0)
-    assert core._quiet_ms(now + 900.0) == 200.0
+    assert core._unsupported_ms(now + 900.0) == 200.0
--- a/tests/record_voters.py
+++ b/tests/record_voters.py
@@ -1,21 +1,17 @@
 """Plain asserts on changes of the record's voters, in simulated time: what each step bears, and walks in
 which voters are replaced at random."""
 
-from sableford.fleet.record.core import (
-    Record,
-    Standing,
-    Store,
-    put,
-)
-from sableford.fleet.record.growth import Group
-from sableford.fleet.record.walk import Walk
-from sableford.fleet.record.words import Fetch, Fetched, Kind
+from sableford.consensus.effects import Persist, Standing
+from sableford.consensus.messages import FetchRequest, FetchResponse, Kind
+from sableford.consensus.raft_node import RaftNode, put
+from sableford.consensus.simulation.growth import Group
+from sableford.consensus.simulation.walk import Walk
 from tests.record_growth import level, value
 
 # Who votes
 
 
-def bearable(leader: Record, group: Group) -> int:
+def bearable(leader: RaftNode, group: Group) -> int:
     """How many more losses the voters bear: those who live less a majority."""
     voters = leader.voters()
     live = [name for name in voters if name not in group.trial.dead]
@@ -86,7 +82,7 @@
         assert group.agreed(put(f"k{number}", b"v"))
     leader.wanted = ("a", "b", "c", "d")
     for have, joins in ((0, False), (leader.commit - 1, False), (leader.commit, True)):
-        group.trial.do(leader.name, leader.heard(group.trial.now, "d", 1, Fetch("folder of d", have)))
+        group.trial.do(leader.name, leader.heard(group.trial.now, "d", 1, FetchRequest("folder of d", have)))
         group.run(250.0)
         assert ("d" in leader.voters()) is joins, have
 
@@ -97,7 +93,7 @@
     gone = next(name for name in "abc" if name not in group.led().voters())
     assert group.agreed(value(7))
     core = group.cores[gone]
-    assert group.run(3000.0, lambda: core.machine.values["config"].data.startswith(b"7 "))
+    assert group.run(3000.0, lambda: core.state_machine.values["config"].data.startswith(b"7 "))
     assert gone not in core.voters()
 
 
@@ -111,7 +107,7 @@
     core = group.start(gone)
     last = core.last
     assert core.standing is Standing.LEARNER and last > 0
-    group.trial.do(gone, core.heard(group.trial.now, "d", 1, Fetched(0, 1, 0)))
+    group.trial.do(gone, core.heard(group.trial.now, "d", 1, FetchResponse(0, 1, 0)))
     for _ in range(400):
         group.run(5.0)
         assert core.standing is Standing.LEARNER and core.last >= last
@@ -132,11 +128,11 @@
         group.want(sorted({*leader.voters(), new} - {gone}))
         for number in range(8):
             assert group.agreed(value(turn * 100 + number))
-        assert group.run(3000.0, lambda new=new: new in (group.led().settled_voters() or {}))
+        assert group.run(3000.0, lambda new=new: new in (group.led().stable_voters() or {}))
         assert group.run(3000.0, lambda: len(group.led().voters()) == 3)
         if not turn % 2:
             group.kill(gone)
-    assert group.led().machine.values["config"].data.startswith(b"407 ")
+    assert group.led().state_machine.values["config"].data.startswith(b"407 ")
 
 
 def shows_a_restarted_voter_is_not_made_a_stranger_by_a_member_that_is_behind() -> None:
@@ -162,7 +158,7 @@
     id = group.cores["e"].id
     core = group.start("e")
     group.run(3000.0)
-    assert core.standing is Standing.SOUND and core.id == id
+    assert core.standing is Standing.VOTING and core.id == id
     assert group.agreed(value(2))
 
 
@@ -174,7 +170,7 @@
     assert group.agreed(value(0))
     seen, stores = group.trial.seen, []
     group.trial.seen = lambda name, effect: (
-        stores.append(effect) if isinstance(effect, Store) else None,
+        stores.append(effect) if isinstance(effect, Persist) else None,
         seen(name, effect),
     )
     rounds = leader._round
@@ -204,14 +200,14 @@
         self.trial.cores[name].wanted = next(iter(self.trial.cores.values())).wanted
 
 
-class TwoAtOnce(Record):
+class TwoAtOnce(RaftNode):
     """Changes voters again before the last change is agreed on."""
 
-    def settled_voters(self):
+    def stable_voters(self):
         return dict(self._voters)
 
 
-class Forgetful(Record):
+class Forgetful(RaftNode):
     """Acknowledges entries as a joining voter and drops them for what it has fetched."""
 
     def _take_agreed(self, word):
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -16,6 +16,18 @@
 from sableford.common.log import Log
 from sableford.common.log_writer import LogWriter
 from sableford.common.settings import SettingsError, parse
+from sableford.consensus.effects import (
+    AppendToLog,
+    HardState,
+    Persist,
+    ReplaceLog,
+    Send,
+    Standing,
+    StoredState,
+    TruncateLog,
+)
+from sableford.consensus.messages import Entry
+from sableford.consensus.raft_node import RaftNode, put
 from sableford.control.coordinator import Coordinator
 from sableford.control.effects import SendUpdate
 from sableford.control.member_client import MemberClient
@@ -23,8 +35,6 @@
 from sableford.control.record_storage import RecordStorage
 from sableford.control.timing import QUORUM_FRESH_MS
 from sableford.control.view import SHARDS, StoreInfo, View, shares
-from sableford.fleet.record.core import Add, Cut, Held, Meta, Record, Send, Standing, Store, Whole, put
-from sableford.fleet.record.words import Entry
 from sableford.node.cli import main
 from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.delivery import request_of, verdict_of
@@ -428,14 +438,14 @@
 
     def __init__(self, names: str) -> None:
         self.now, self.deaf = 0.0, set()
-        self.all: dict[str, Record] = {}
+        self.all: dict[str, RaftNode] = {}
         self.words: list[tuple[str, str, object]] = []
         for name in names:
             self.add(name, list(names), False)
 
     def add(self, name: str, names: list[str], newcomer: bool) -> None:
-        held = Held(f"folder of {name}")
-        self.all[name] = Record(name, 1, names, held, self.now, 7, newcomer=newcomer)
+        held = StoredState(f"folder of {name}")
+        self.all[name] = RaftNode(name, 1, names, held, self.now, 7, newcomer=newcomer)
 
     def run(self, ms: float, until=lambda: False) -> bool:
         end = self.now + ms
@@ -455,17 +465,17 @@
         for effect in effects:
             if isinstance(effect, Send):
                 self.words.append((name, effect.to, effect.word))
-            elif isinstance(effect, Store):
+            elif isinstance(effect, Persist):
                 self.do(name, self.all[name].stored(self.now, effect.number))
 
-    def leader(self) -> Record | None:
+    def leader(self) -> RaftNode | None:
         return next((one for name, one in self.all.items() if one.leads and name not in self.deaf), None)
 
 
 def shows_a_voter_that_is_gone_is_replaced_by_a_newcomer_and_never_votes_again_by_itself() -> None:
     fleet = Voters("abc")
     assert fleet.run(
-        3000.0, lambda: fleet.leader() is not None and fleet.leader().settled_voters() is not None
+        3000.0, lambda: fleet.leader() is not None and fleet.leader().stable_voters() is not None
     )
     leader = fleet.leader()
     gone = next(name for name in "abc" if name != leader.name)
@@ -473,26 +483,28 @@
     fleet.add("d", [leader.name], True)
     assert not fleet.all["d"].voters().get("d")
     leader.wanted = tuple(sorted({*"abcd"} - {gone}))
-    assert fleet.run(5000.0, lambda: "d" in (leader.settled_voters() or {}))
-    assert set(leader.settled_voters()) == set(leader.wanted)
+    assert fleet.run(5000.0, lambda: "d" in (leader.stable_voters() or {}))
+    assert set(leader.stable_voters()) == set(leader.wanted)
     # Two of the new three agree, with the old one's vote counting for nothing.
     third = next(name for name in "abc" if name not in (gone, leader.name))
-    assert fleet.run(2000.0, lambda: fleet.all["d"].standing is Standing.SOUND)
+    assert fleet.run(2000.0, lambda: fleet.all["d"].standing is Standing.VOTING)
     fleet.deaf = {third}
     number, effects = leader.offer(fleet.now, put("k", b"v"))
     fleet.do(leader.name, effects)
-    assert fleet.run(2000.0, lambda: leader.machine.values.get("k") is not None), number
+    assert fleet.run(2000.0, lambda: leader.state_machine.values.get("k") is not None), number
     fleet.deaf = set()
     old = fleet.all[gone]
     fleet.do(gone, old.outvoted(fleet.now))
-    assert old.standing is Standing.STRANGER and old.id != f"folder of {gone}"
-    assert fleet.run(3000.0, lambda: old.machine.values.get("k") is not None)  # it learns, and does not vote
-    assert gone not in leader.settled_voters()
+    assert old.standing is Standing.REPLACED and old.id != f"folder of {gone}"
+    assert fleet.run(
+        3000.0, lambda: old.state_machine.values.get("k") is not None
+    )  # it learns, and does not vote
+    assert gone not in leader.stable_voters()
 
 
 def shows_a_leader_without_a_majority_grants_nothing_and_moves_nothing() -> None:
     fleet = Voters("abc")
-    assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().settled_voters()))
+    assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().stable_voters()))
     leader = fleet.leader()
     assert fleet.run(300.0, lambda: leader.fresh(fleet.now, QUORUM_FRESH_MS))
     coordinator = Coordinator(1200.0)
@@ -517,14 +529,14 @@
 
 def shows_voters_back_from_a_loss_of_power_lead_soon_though_one_has_lost_its_disk() -> None:
     fleet = Voters("abc")
-    assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().settled_voters()))
+    assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().stable_voters()))
     fleet.run(300.0)
     wiped, *rest = sorted(fleet.all, key=lambda name: not fleet.all[name].leads)
     fleet.words = []
     for name in rest:
         old = fleet.all[name]
-        held = Held(old.id, old.term, old.vote, first=old.first, entries=tuple(old.entries))
-        fleet.all[name] = Record(name, 2, list("abc"), held, fleet.now, 8)
+        held = StoredState(old.id, old.term, old.vote, first=old.first, entries=tuple(old.entries))
+        fleet.all[name] = RaftNode(name, 2, list("abc"), held, fleet.now, 8)
     fleet.add(wiped, list(rest), True)
     began = fleet.now
     assert fleet.run(2000.0, lambda: fleet.leader() is not None)
@@ -540,13 +552,13 @@
             found.pop(key, None) if value is None else found.update({key: value})
 
     entries = [Entry(1, 1, "a", at, b"x") for at in range(4)]
-    keep(Meta(1, "v"), *(Add(at, one) for at, one in enumerate(entries, 1)))
-    keep(Cut(2), Add(3, entries[3]))
+    keep(HardState(1, "v"), *(AppendToLog(at, one) for at, one in enumerate(entries, 1)))
+    keep(TruncateLog(2), AppendToLog(3, entries[3]))
     held = RecordStorage(found.items()).held
     assert (held.term, held.vote, held.first) == (1, "v", 1)
     assert RecordStorage(found.items()).names == ("a", "b")
     assert held.entries == (entries[0], entries[1], entries[3])
-    keep(Whole("id", Meta(2, ""), None, 3, 1, (entries[2],)))
+    keep(ReplaceLog("id", HardState(2, ""), None, 3, 1, (entries[2],)))
     held = RecordStorage(found.items()).held
     assert (held.id, held.first, held.entries) == ("id", 3, (entries[2],))
 
