--- a/sableford/common/disk.py
+++ b/sableford/common/disk.py
@@ -143,8 +143,7 @@
 
     def write(self, puts: Puts, more: bool = False) -> "asyncio.Future[bool]":
         """All of it or nothing, synced, in the order of calls. `more`: it adds to what is kept, and is
-        refused
-        with DiskFullError before the room for endings is used up."""
+        refused with DiskFullError before the room for endings is used up."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
         self._queue.put(_Write(puts, more, loop, future))
--- a/sableford/control/coordinator.py
+++ b/sableford/control/coordinator.py
@@ -1,8 +1,7 @@
 """The leader's soft state: members under leases, whose each shard is, and the workers. No I/O.
 
 Nothing of it is on disk: a new leader gathers it from those who join, and moves no shard before each store
-has
-joined, is proven to have ended, or could hold a lease of an earlier leader no longer.
+has joined, is proven to have ended, or could hold a lease of an earlier leader no longer.
 
     input                        next state                           effects
     joined, renewed              the member's lease runs from now     a snapshot; AddStore for a new store
--- a/sableford/control/member_client.py
+++ b/sableford/control/member_client.py
@@ -48,8 +48,7 @@
     sent on that link by then, or this member would have applied it first, since the link keeps the order. An
     earlier leader, which does not know of a newer one, grants for QUORUM_FRESH_MS at most after the next one
     has won. So the newer one was acknowledged no sooner than QUORUM_FRESH_MS before the renewal was sent.
-    With
-    an `apply_ms` under LEASE_MS + QUORUM_FRESH_MS that is before the lease runs out.
+    With an `apply_ms` under LEASE_MS + QUORUM_FRESH_MS that is before the lease runs out.
 
     >>> configuration_until(1000.0, 3000.0), configuration_until(1000.0, 900.0)
     (2700.0, 600.0)
@@ -60,8 +59,7 @@
 class MemberClient:
     """`on_view(view)`, `on_config(configuration)`, `on_worker(id)`, with None for all workers,
     `on_lease(until)` and `on_joined(response)` are called as updates come. Which processes to reach comes
-    from
-    views and from the seeds.
+    from views and from the seeds.
 
     `status` gives what this process says of itself."""
 
--- a/sableford/control/member_sessions.py
+++ b/sableford/control/member_sessions.py
@@ -1,6 +1,5 @@
 """The members' side of the leader: who joins, renews and acknowledges, on which link updates go out, and
-who waits
-for an update to be applied.
+who waits for an update to be applied.
 """
 
 import asyncio
--- a/sableford/control/protocol.py
+++ b/sableford/control/protocol.py
@@ -1,8 +1,7 @@
 """What members and the leader send each other.
 
 Field names on the wire are those of version 0.3, so that versions mix while they are rolled out; `name=`
-gives
-them where the code uses another word.
+gives them where the code uses another word.
 """
 
 from typing import Any, ClassVar
--- a/sableford/control/requests.py
+++ b/sableford/control/requests.py
@@ -1,8 +1,7 @@
 """What workers and operators send, read and checked. No I/O.
 
 Each call's path, headers and body come to one typed request or to InvalidRequestError, whose one line names
-the field.
-The forms are those of PROTOCOL.md ("Which workers there are", "The operator").
+the field. The forms are those of PROTOCOL.md ("Which workers there are", "The operator").
 """
 
 import math
--- a/sableford/control/roster_manager.py
+++ b/sableford/control/roster_manager.py
@@ -1,6 +1,5 @@
 """Changes of the roster, each agreed on in the record: stores that come, that are done without, that an
-operator
-wants emptied.
+operator wants emptied.
 """
 
 import asyncio
--- a/sableford/control/service.py
+++ b/sableford/control/service.py
@@ -1,8 +1,7 @@
 """The control plane at one machine with a disk: its side of the record and, while it leads, the coordinator.
 
 It owns the parts and who leads; each part has a module of its own. What this machine can't settle itself is
-passed
-on to the leader.
+passed on to the leader.
 
     part                    owns
     `record_driver`         this machine's side of the record, offers
--- a/sableford/control/shard_assignment.py
+++ b/sableford/control/shard_assignment.py
@@ -1,8 +1,7 @@
 """Who owns each shard in the next view. No I/O.
 
 A shard changes hands by way of a view in which it is nobody's. It is given to the next owner once nobody
-can act on
-it any more: the old owner has acknowledged that view, or is gone.
+can act on it any more: the old owner has acknowledged that view, or is gone.
 """
 
 from typing import NamedTuple
--- a/sableford/control/voter_manager.py
+++ b/sableford/control/voter_manager.py
@@ -13,8 +13,7 @@
 
 class VoterManager:
     """`roster` gives the roster in force, `live_stores` those of the newest view that was heard, `regions`
-    the
-    region of each zone."""
+    the region of each zone."""
 
     def __init__(
         self,
--- a/sableford/control/workers.py
+++ b/sableford/control/workers.py
@@ -10,8 +10,7 @@
 
 Within one incarnation a worker goes from ready to draining to left and never back. What has been acknowledged
 of that must hold whoever leads next, and a leader may have been cut off when it was told. So every store
-holds
-to what it knows by itself, for a minute, and tells a leader that it joins (`departures`).
+holds to what it knows by itself, for a minute, and tells a leader that it joins (`departures`).
 """
 
 from collections.abc import Iterable
--- a/sableford/store/delivery_results.py
+++ b/sableford/store/delivery_results.py
@@ -1,6 +1,5 @@
 """What becomes of deliveries: a verdict on an own message decides its next state; one on a message whose
-shard
-has gone to another store is reported to its new owner until that one knows. No I/O.
+shard has gone to another store is reported to its new owner until that one knows. No I/O.
 """
 
 from sableford.store.choice import Choice
--- a/sableford/store/final_state_replication.py
+++ b/sableford/store/final_state_replication.py
@@ -3,8 +3,7 @@
 The owner of a shard answers for the final states of its messages. It knows by name which stores have each of
 them on disk: from those it told, and by listing what the others hold when it takes a shard over or another
 incarnation of a store appears. What is on too few disks that count is copied again, a portion at a time;
-until
-then `is_safe` is false, so that no store is removed from the roster while a final state needs it.
+until then `is_safe` is false, so that no store is removed from the roster while a final state needs it.
 
     input                                          what becomes of it
     a final state is on enough disks               its message is removed; the holders are noted
--- a/sableford/store/protocol.py
+++ b/sableford/store/protocol.py
@@ -1,10 +1,8 @@
 """What stores ask of each other, and edges of stores.
 
 Field names on the wire are those of version 0.3, so that versions mix while they are rolled out; `name=`
-gives
-them where the code uses another word. Times on the wire are spans in ms, since each process has a clock of
-its
-own.
+gives them where the code uses another word. Times on the wire are spans in ms, since each process has a clock
+of its own.
 """
 
 from typing import Any, ClassVar
--- a/sableford/store/queue.py
+++ b/sableford/store/queue.py
@@ -2,16 +2,14 @@
 shard is taken over. Events come in by method, effects go out in order.
 
     state      input                                  next state  effects
-    -          put, of an own shard                   ACCEPTING   WriteMessage, CopyMessage to as many as
-    may be lost
+    -          put, of an own shard                   ACCEPTING   WriteMessage, CopyMessage to other stores
     ACCEPTING  on enough disks, lease valid           WAITING     RespondToPut: kept
     WAITING    due, first of its key, worker free     IN_FLIGHT   Deliver
     IN_FLIGHT  done, impossible, failed too often     ENDING      WriteFinalState, CopyFinalState
     IN_FLIGHT  failed, not run, unknown               WAITING     after a backoff
     ENDING     its final state is on enough disks     gone        the next of its key
     any        the shard is another's by a new view   REPLICA     SendDeliveryResult once a delivery has ended
-    REPLICA    the shard is ours by a new view        WAITING     after Pull and AskFinalStates of all who
-    may know
+    REPLICA    the shard is ours by a new view        WAITING     after Pull and AskFinalStates of others
 
 `Queue` puts the parts together; each has a module of its own, and `queue_state` says who changes which table.
 """
@@ -62,8 +60,7 @@
 
 class Queue:
     """One store's queue. `state` is to be read by its host, which sets `lease`, `unresponsive`, `full` and,
-    at
-    the start, what the disk held."""
+    at the start, what the disk held."""
 
     parts: ClassVar[QueueParts] = QueueParts()
 
@@ -187,8 +184,7 @@
         self, now: float, store: str, ref: str, response: LookupResponse | None
     ) -> list[Effect]:
         """What another store knows of a message that may have come before. None, where it did not answer,
-        says
-        nothing: the time for it runs out."""
+        says nothing: the time for it runs out."""
         if response is None:
             return self.state.take_effects()
         if response.final_state is not None and ref in self.state.messages:
--- a/sableford/store/replica_placement.py
+++ b/sableford/store/replica_placement.py
@@ -1,8 +1,7 @@
 """On which stores replicas are to lie, and whether those that a message has are enough. No I/O.
 
 What is enough follows from what the deployment tolerates (`durability`) and from the view: replicas count
-on no
-store that is being emptied, nor, where others are enough, on one that leaves and may be gone for good.
+on no store that is being emptied, nor, where others are enough, on one that leaves and may be gone for good.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
--- a/sableford/store/shard_takeover.py
+++ b/sableford/store/shard_takeover.py
@@ -2,8 +2,7 @@
 
 Who takes a shard over asks all other live stores what they hold of it, and waits until as many complete disks
 have answered as leave none out that an accepted message may be on; then which of that has ended. Who hands
-it on
-has acknowledged the view before, begins nothing more, and tells how what it had in flight has ended.
+it on has acknowledged the view before, begins nothing more, and tells how what it had in flight has ended.
 """
 
 from sableford.control.view import Number, View, shard_in
@@ -330,8 +329,7 @@
 
     def audits(self) -> dict[str, str]:
         """Stores whose disks agree with what is owned here, by their incarnation. To be told only while all
-        is
-        safe."""
+        is safe."""
         stores = self._state.view.live_stores
         return {
             name: incarnation
--- a/sableford/transport/routes.py
+++ b/sableford/transport/routes.py
@@ -20,8 +20,7 @@
 
 class Backend(NamedTuple):
     """One service. `endpoint`: its one address, where it is on no list; `rate`: calls a second that it
-    bears, 0
-    for no limit."""
+    bears, 0 for no limit."""
 
     name: str
     idempotent: bool
--- a/tests/wire_compatibility.py
+++ b/tests/wire_compatibility.py
@@ -1,10 +1,8 @@
 """Messages and values on disk of the version that landed before this one (commit 863ec06), read and written
-by
-this one, so that both may run beside each other and a folder outlives the change of versions.
+by this one, so that both may run beside each other and a folder outlives the change of versions.
 
 `data/landed_863ec06.json` was written by that version: the frames that its stores, edges and leader put on
-their
-links, and the values that its store put on its disk.
+their links, and the values that its store put on its disk.
 """
 
 import functools
