--- a/sableford/consensus/constants.py
+++ b/sableford/consensus/constants.py
@@ -16,8 +16,8 @@
 
 # Starts
 
-HAIL_INTERVAL = 200.0  # ms between two hails
-HAIL_WAIT = 1000.0  # ms for every voter's answer to a hail; then a majority's is enough
+STARTUP_QUESTION_INTERVAL = 200.0  # ms between two startup questions
+STARTUP_ANSWER_TIMEOUT = 1000.0  # ms for every voter's answer at the start; then a majority's is enough
 
 # Catching up
 
@@ -35,10 +35,10 @@
 ENTRY_OVERHEAD = 40  # bytes of an entry beside its data
 OLD_SNAPSHOT_WINDOW = 14_400  # bytes of a snapshot sent for one fetch by versions that do not say so
 
-# Offers
+# Proposals
 
-OFFER_RETRY = 300.0  # ms for a leader's answer to an offer before it is said again
-MOST_OFFERS = WINDOW // 2  # under way at once at one process
+PROPOSAL_RETRY = 300.0  # ms for a leader's answer to a proposal before it is said again
+MAX_PROPOSALS = WINDOW // 2  # under way at once at one process
 AHEAD_MESSAGES = 8  # messages of entries at once to a follower
 AHEAD_ENTRIES = 512  # entries under way to it at most
 
--- a/sableford/consensus/effects.py
+++ b/sableford/consensus/effects.py
@@ -41,7 +41,7 @@
 
 class Send(NamedTuple):
     to: str
-    word: RaftMessage
+    message: RaftMessage
 
 
 class Persist(NamedTuple):
@@ -80,7 +80,7 @@
 
 
 class ProposalResult(NamedTuple):
-    """An offer made here has its end: where it stands, or why not."""
+    """A proposal made here has its end: where it stands, or why not."""
 
     number: int
     yes: bool
--- a/sableford/consensus/elections.py
+++ b/sableford/consensus/elections.py
@@ -28,49 +28,50 @@
         if not self.knows_voter_ids() and len(self._startup_answers) + 1 < len(self._names):
             return []  # who leads first names all voters' folders
         self._pre, self._votes, self.leader = True, {self.name: True}, ""
-        word = VoteRequest(self.id, self.term + 1, self.last, self.term_at(self.last), True)
-        return self._request_votes(word) or self._count_votes(now)
+        message = VoteRequest(self.id, self.term + 1, self.last, self.term_at(self.last), True)
+        return self._request_votes(message) or self._count_votes(now)
 
-    def _request_votes(self, word: VoteRequest) -> list[Effect]:
-        return [Send(name, word) for name in self._voters if name != self.name]
+    def _request_votes(self, message: VoteRequest) -> list[Effect]:
+        return [Send(name, message) for name in self._voters if name != self.name]
 
-    def _handle_vote_request(self, now: float, sender: str, word: VoteRequest) -> list[Effect]:
-        if self.standing not in VOTES or not self._is_voter(sender, word.id):
+    def _handle_vote_request(self, now: float, sender: str, message: VoteRequest) -> list[Effect]:
+        if self.standing not in VOTES or not self._is_voter(sender, message.id):
             return []
         if not self._is_voter(self.name, self.id):
             return []
         # Who hears a leader leaves it one: a candidate behind a one-way cut would unseat it for ever.
         led = self.leads or (self.leader and now - self._led_at < ELECTION_TIMEOUT - HEARTBEAT)
-        new = (word.last_term, word.last) >= (self.term_at(self.last), self.last)
-        if word.pre:
-            yes = word.term > self.term and new and not led
-            return [Send(sender, VoteResponse(self.id, word.term if yes else self.term, yes, True))]
+        new = (message.last_term, message.last) >= (self.term_at(self.last), self.last)
+        if message.pre:
+            yes = message.term > self.term and new and not led
+            return [Send(sender, VoteResponse(self.id, message.term if yes else self.term, yes, True))]
         out: list[Effect] = []
-        if led and word.term > self.term:
+        if led and message.term > self.term:
             return [Send(sender, VoteResponse(self.id, self.term, False, False))]
-        if word.term > self.term:
-            out += self._become_follower(now, word.term, "")
-        self._note_progress(sender, word.id, word.term, 0)  # it keeps a term before it asks for votes in it
-        yes = word.term == self.term and new and self.vote in ("", sender)
+        if message.term > self.term:
+            out += self._become_follower(now, message.term, "")
+        # It keeps a term before it asks for votes in it.
+        self._note_progress(sender, message.id, message.term, 0)
+        yes = message.term == self.term and new and self.vote in ("", sender)
         if yes:
             self.vote = sender
             self._due_at = self._election_deadline(now)
         answer = Send(sender, VoteResponse(self.id, self.term, yes, False, self._unsupported_ms(now)))
         return out + self._persist(HardState(self.term, self.vote), then=[answer]) if yes else [*out, answer]
 
-    def _handle_vote_response(self, now: float, sender: str, word: VoteResponse) -> list[Effect]:
-        if not self._is_voter(sender, word.id):
+    def _handle_vote_response(self, now: float, sender: str, message: VoteResponse) -> list[Effect]:
+        if not self._is_voter(sender, message.id):
             return []
-        if word.yes and not word.pre:
-            self._note_progress(sender, word.id, word.term, 0)
-            self._support[sender] = now - word.quiet_ms
-        if word.term > self.term + (word.pre and word.yes):
-            return self._become_follower(now, word.term, "")
-        if self.leads or not self._votes or word.pre != self._pre:
+        if message.yes and not message.pre:
+            self._note_progress(sender, message.id, message.term, 0)
+            self._support[sender] = now - message.quiet_ms
+        if message.term > self.term + (message.pre and message.yes):
+            return self._become_follower(now, message.term, "")
+        if self.leads or not self._votes or message.pre != self._pre:
             return []
-        if word.term != self.term + word.pre and word.yes:
+        if message.term != self.term + message.pre and message.yes:
             return []
-        self._votes[sender] = word.yes
+        self._votes[sender] = message.yes
         return self._count_votes(now)
 
     def _unsupported_ms(self, now: float) -> float:
@@ -85,10 +86,11 @@
             self.term, self.vote = self.term + 1, self.name
             self._votes, self._support = {}, {}
             self._due_at = self._election_deadline(now)
-            word = VoteRequest(self.id, self.term, self.last, self.term_at(self.last), False)
+            message = VoteRequest(self.id, self.term, self.last, self.term_at(self.last), False)
             # Its own vote counts once it is kept, and is asked for others' no sooner.
             return self._persist(
-                HardState(self.term, self.name), then=[*self._request_votes(word), OwnVoteCounts(self.term)]
+                HardState(self.term, self.name),
+                then=[*self._request_votes(message), OwnVoteCounts(self.term)],
             )
         return self._become_leader(now)
 
@@ -106,7 +108,7 @@
         out: list[Effect] = [LogEvent("record_leader", {"leader": self.name, "term": self.term})]
         out += self._append_own(Entry(self.term, Kind.NOTHING))
         if not self.knows_voter_ids():
-            ids = {name: hail.id for name, hail in self._startup_answers.items()} | {self.name: self.id}
+            ids = {name: answer.id for name, answer in self._startup_answers.items()} | {self.name: self.id}
             out += self._append_own(self._voters_entry({name: ids[name] for name in self._voters}))
         self._beat_at = now
         return out + self._send_heartbeats(now)
--- a/sableford/consensus/messages.py
+++ b/sableford/consensus/messages.py
@@ -8,7 +8,7 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """`author` and `number` tell a repeat of the same offer; `data` is the kind's own."""
+    """`author` and `number` tell a repeat of the same proposal; `data` is the kind's own."""
 
     term: int
     kind: int
--- a/sableford/consensus/proposals.py
+++ b/sableford/consensus/proposals.py
@@ -1,15 +1,15 @@
-"""Offers and reads: said again until a leader answers (Ongaro's dissertation, chapter 6)."""
+"""Proposals and reads: said again until a leader answers (Ongaro's dissertation, chapter 6)."""
 
-from sableford.consensus.constants import FORGOTTEN, MOST_OFFERS, MOVED, OFFER_RETRY
+from sableford.consensus.constants import FORGOTTEN, MAX_PROPOSALS, MOVED, PROPOSAL_RETRY
 from sableford.consensus.effects import Effect, ProposalResult, Send
 from sableford.consensus.messages import Entry, Kind, ProposeRequest, ProposeResponse
 from sableford.consensus.raft_state import PendingProposal, PendingRead, RaftState
 
 
 class Proposals(RaftState):
-    """Offers of this process, and those that a leader takes."""
+    """Proposals of this process, and those that a leader takes."""
 
-    def offer(self, now: float, data: bytes | None, kind: int = Kind.PUT) -> tuple[int, list[Effect]]:
+    def propose(self, now: float, data: bytes | None, kind: int = Kind.PUT) -> tuple[int, list[Effect]]:
         """Something for the record, or a read where there is no data; it goes on until it is answered or
         `drop`ped. The number is the answer's."""
         # Reads have numbers of their own: the window of those remembered is for what stands in the log.
@@ -17,49 +17,49 @@
             self._next_read -= 1
             number = self._next_read
         else:
-            self._next_offer += 1
-            number = self._next_offer
+            self._next_proposal += 1
+            number = self._next_proposal
         if data is not None and len(data) > self._most + 512:
             return number, [ProposalResult(number, False, 0, f"{len(data)} bytes are too many")]
-        if len(self._offers) >= MOST_OFFERS:
+        if len(self._proposals) >= MAX_PROPOSALS:
             return number, [ProposalResult(number, False, 0, "too many offers under way")]
-        self._offers[number] = PendingProposal(kind, data)
+        self._proposals[number] = PendingProposal(kind, data)
         return number, self._retry_proposals(now)
 
     def drop(self, number: int) -> None:
         """Nobody waits for it any more; it may stand in the record all the same."""
-        self._offers.pop(number, None)
+        self._proposals.pop(number, None)
 
     def _retry_proposals(self, now: float) -> list[Effect]:
         out: list[Effect] = []
-        for number, one in list(self._offers.items()):
-            if one.need or now - one.said_at < OFFER_RETRY or not self.leader:
+        for number, one in list(self._proposals.items()):
+            if one.need or now - one.said_at < PROPOSAL_RETRY or not self.leader:
                 continue
             one.said_at = now
-            word = ProposeRequest(number, one.kind, one.data)
+            message = ProposeRequest(number, one.kind, one.data)
             out += (
-                self._handle_propose_request(now, self.name, self.incarnation, word)
+                self._handle_propose_request(now, self.name, self.incarnation, message)
                 if self.leads
-                else [Send(self.leader, word)]
+                else [Send(self.leader, message)]
             )
         return out
 
     def _handle_propose_request(
-        self, now: float, sender: str, incarnation: int, word: ProposeRequest
+        self, now: float, sender: str, incarnation: int, message: ProposeRequest
     ) -> list[Effect]:
         if not self.leads:
             return []  # said again to whoever leads by then
-        if word.data is None:
-            return self._handle_read(now, PendingRead(self._round + 1, sender, incarnation, word.number))
+        if message.data is None:
+            return self._handle_read(now, PendingRead(self._round + 1, sender, incarnation, message.number))
         author = f"{sender}#{incarnation}"
-        if (known := self.state_machine.known(author, word.number)) is not None:
+        if (known := self.state_machine.known(author, message.number)) is not None:
             index, held = known
             why = "" if held else MOVED if index else FORGOTTEN
-            return self._respond(sender, ProposeResponse(incarnation, word.number, held, index, why))
-        if (author, word.number) in self._taken:
+            return self._respond(sender, ProposeResponse(incarnation, message.number, held, index, why))
+        if (author, message.number) in self._taken:
             return []
-        self._taken[author, word.number] = self.last + 1
-        out = self._append_own(Entry(self.term, word.kind, author, word.number, word.data))
+        self._taken[author, message.number] = self.last + 1
+        out = self._append_own(Entry(self.term, message.kind, author, message.number, message.data))
         for name, one in self._followers.items():
             if one.next == self.last:  # else it is behind and fed by its answers
                 out += self._send_entries(name, one)
@@ -91,23 +91,27 @@
             out += self._send_heartbeats(self._last_tick)
         return out
 
-    def _respond(self, to: str, word: ProposeResponse) -> list[Effect]:
-        return self._handle_propose_response(self._last_tick, word) if to == self.name else [Send(to, word)]
+    def _respond(self, to: str, message: ProposeResponse) -> list[Effect]:
+        return (
+            self._handle_propose_response(self._last_tick, message)
+            if to == self.name
+            else [Send(to, message)]
+        )
 
-    def _handle_propose_response(self, now: float, word: ProposeResponse) -> list[Effect]:
-        one = self._offers.get(word.number)
-        if one is None or word.incarnation != self.incarnation:
+    def _handle_propose_response(self, now: float, message: ProposeResponse) -> list[Effect]:
+        one = self._proposals.get(message.number)
+        if one is None or message.incarnation != self.incarnation:
             return []
-        if one.data is None and word.yes:
-            one.need = max(word.index, 1)
+        if one.data is None and message.yes:
+            one.need = max(message.index, 1)
             return self._finish_reads()
-        del self._offers[word.number]
-        return [ProposalResult(word.number, word.yes, word.index, word.why)]
+        del self._proposals[message.number]
+        return [ProposalResult(message.number, message.yes, message.index, message.why)]
 
     def _finish_reads(self) -> list[Effect]:
         out: list[Effect] = []
-        for number, one in list(self._offers.items()):
+        for number, one in list(self._proposals.items()):
             if one.need and self.state_machine.last >= one.need:
-                del self._offers[number]
+                del self._proposals[number]
                 out.append(ProposalResult(number, True, self.state_machine.last, ""))
         return out
--- a/sableford/consensus/raft_node.py
+++ b/sableford/consensus/raft_node.py
@@ -52,7 +52,7 @@
         if now - self._last_tick > LATE_TICK + HEARTBEAT and not self.leads:
             self._due_at = max(self._due_at, self._election_deadline(now))  # it stood still itself
         self._last_tick = now
-        if self.standing in (Standing.NEW, Standing.ASKING) and now >= self._hail_at:
+        if self.standing in (Standing.NEW, Standing.ASKING) and now >= self._startup_question_at:
             out += self._ask_about_past(now)
         if self.standing in (Standing.REPLACED, Standing.LEARNER) and self._is_voter(self.name, self.id):
             out += self._voter_again()
@@ -71,35 +71,35 @@
     def met(self, now: float) -> None:
         """A way to another process is open: what waits for its answer asks now."""
         if self.standing in (Standing.NEW, Standing.ASKING):
-            self._hail_at = self.due = now
+            self._startup_question_at = self.due = now
 
     # Messages
 
-    def heard(self, now: float, sender: str, incarnation: int, word: RaftMessage) -> list[Effect]:
+    def heard(self, now: float, sender: str, incarnation: int, message: RaftMessage) -> list[Effect]:
         """A word from another process of the fleet."""
-        match word:
+        match message:
             case StartupQuestion():
-                return self._handle_startup_question(now, sender, word)
+                return self._handle_startup_question(now, sender, message)
             case StartupAnswer():
-                return self._handle_startup_answer(now, sender, word)
+                return self._handle_startup_answer(now, sender, message)
             case VoteRequest():
-                return self._handle_vote_request(now, sender, word)
+                return self._handle_vote_request(now, sender, message)
             case VoteResponse():
-                return self._handle_vote_response(now, sender, word)
+                return self._handle_vote_response(now, sender, message)
             case AppendRequest():
-                return self._handle_append_request(now, sender, word)
+                return self._handle_append_request(now, sender, message)
             case AppendResponse():
-                return self._handle_append_response(now, sender, word)
+                return self._handle_append_response(now, sender, message)
             case FetchRequest():
-                return self._handle_fetch_request(now, sender, word)
+                return self._handle_fetch_request(now, sender, message)
             case FetchResponse():
-                return self._handle_fetch_response(now, sender, word)
+                return self._handle_fetch_response(now, sender, message)
             case SnapshotChunk():
-                return self._handle_snapshot_chunk(now, sender, word)
+                return self._handle_snapshot_chunk(now, sender, message)
             case ProposeRequest():
-                return self._handle_propose_request(now, sender, incarnation, word)
+                return self._handle_propose_request(now, sender, incarnation, message)
             case ProposeResponse():
-                return self._handle_propose_response(now, word)
+                return self._handle_propose_response(now, message)
         return []
 
 
--- a/sableford/consensus/raft_state.py
+++ b/sableford/consensus/raft_state.py
@@ -16,7 +16,7 @@
     EARLY_PIECES,
     ELECTION_TIMEOUT,
     ENTRY_OVERHEAD,
-    HAIL_WAIT,
+    STARTUP_ANSWER_TIMEOUT,
     UNKNOWN,
     Transport,
 )
@@ -125,14 +125,14 @@
         seed: int,
         most: int = MOST_VALUE,
         newcomer: bool = False,
-        hail_wait: float = HAIL_WAIT,
+        startup_answer_timeout: float = STARTUP_ANSWER_TIMEOUT,
         transport: Transport = DATAGRAMS,
     ) -> None:
         """`voters`: the names that the file gives; their ids are agreed on when all meet for the first
         time. `most` bytes of one value: what the way between the processes carries. `newcomer`: its folder
-        is empty, others began long ago; it votes once they have voted it in. `hail_wait`: ms that every
-        voter's answer to a hail is waited for; then a majority's is enough. `transport`: how much goes at
-        once between the processes."""
+        is empty, others began long ago; it votes once they have voted it in. `startup_answer_timeout`:
+        ms that every voter's answer to the startup question is waited for; then a majority's is enough.
+        `transport`: how much goes at once between the processes."""
         self._transport = transport
         self.name, self.incarnation, self.id, self._most = name, incarnation, held.id, most
         self._random = Random(f"record {name} {incarnation} {seed}")
@@ -171,7 +171,11 @@
         self._voters = self._latest_voters()
         self._progress: dict[str, tuple[str, int, int]] = {}  # the furthest that was heard of each voter
         self._startup_answers: dict[str, StartupAnswer] = {}
-        self._hail_from, self._hail_at, self._hail_wait = now, now, hail_wait
+        self._startup_began_at, self._startup_question_at, self._startup_answer_timeout = (
+            now,
+            now,
+            startup_answer_timeout,
+        )
         self._votes: dict[str, bool] = {}  # who said what in the election under way
         self._pre = False
         self._followers: dict[str, Follower] = {}
@@ -184,9 +188,9 @@
         self._waiting: deque[tuple[int, list[Effect]]] = deque()  # until the disk has said so
         self._stores = 0
         self._rewritten = inf  # the number of the store that makes a disk that failed good again
-        self._offers: dict[int, PendingProposal] = {}
-        self._next_offer = self._next_read = 0
-        self._taken: dict[tuple[str, int], int] = {}  # of a leader: offers under way, their index
+        self._proposals: dict[int, PendingProposal] = {}
+        self._next_proposal = self._next_read = 0
+        self._taken: dict[tuple[str, int], int] = {}  # of a leader: proposals under way, their index
         self._pull_at = now
         self._source, self._unanswered = "", 0  # whom it asked last, how often since that one answered
         self._asked_after = 0  # the entry after which it asked last
@@ -313,7 +317,7 @@
             out += self._set_standing(self._was, "its disk takes it again")
             if self.standing in (Standing.NEW, Standing.ASKING):
                 self._startup_answers.clear()
-                self._hail_from = self._hail_at = now
+                self._startup_began_at = self._startup_question_at = now
         if self.standing is Standing.INCOMPLETE and self._has_regained():
             self._lost = None
             out += self._persist(self._replace_log()) + self._set_standing(
--- a/sableford/consensus/replication.py
+++ b/sableford/consensus/replication.py
@@ -102,31 +102,31 @@
             one.next, ahead = end, ahead + size
         return out
 
-    def _handle_append_response(self, now: float, sender: str, word: AppendResponse) -> list[Effect]:
-        if word.term > self.term and self._is_voter(sender, word.id):
-            return self._become_follower(now, word.term, "")
-        if not self.leads or word.term != self.term or sender not in self._followers:
+    def _handle_append_response(self, now: float, sender: str, message: AppendResponse) -> list[Effect]:
+        if message.term > self.term and self._is_voter(sender, message.id):
+            return self._become_follower(now, message.term, "")
+        if not self.leads or message.term != self.term or sender not in self._followers:
             return []
-        if not self._is_voter(sender, word.id):  # another folder than the one that votes
-            self._note_other_disk(now, sender, word.id)
+        if not self._is_voter(sender, message.id):  # another folder than the one that votes
+            self._note_other_disk(now, sender, message.id)
             return []
         one = self._followers[sender]
-        one.heard, one.round = now, max(one.round, word.round)
-        one.said_to = max(one.said_to, self._round_at.get(word.round, -1e12))
-        self._note_progress(sender, word.id, word.term, word.last if word.yes else 0)
-        if word.yes:
-            one.match = max(one.match, min(word.last, self.last))
+        one.heard, one.round = now, max(one.round, message.round)
+        one.said_to = max(one.said_to, self._round_at.get(message.round, -1e12))
+        self._note_progress(sender, message.id, message.term, message.last if message.yes else 0)
+        if message.yes:
+            one.match = max(one.match, min(message.last, self.last))
             one.next = max(one.next, one.match + 1)
             return self._advance_commit() + self._send_entries(sender, one)
-        one.next = max(one.match + 1, min(word.last + 1, one.next))
+        one.next = max(one.match + 1, min(message.last + 1, one.next))
         if now - one.back_at < HEARTBEAT / 2.0:  # each word in vain has its answer, and one more is enough
             return []
         one.back_at = now
-        if word.last < one.match:  # it held more: let it see for itself that its folder was set back
+        if message.last < one.match:  # it held more: let it see for itself that its folder was set back
             return [Send(sender, self._known_past_of(sender))]
         if one.next < self.first and now - one.fetched_at > FETCH_INTERVAL:
             # The version before asks for a snapshot only where it is far behind, or has been sent the start.
-            return self._serve_snapshot(now, sender, FetchRequest(word.id, word.last))
+            return self._serve_snapshot(now, sender, FetchRequest(message.id, message.last))
         return self._send_entries(sender, one, 1)
 
     def _advance_commit(self) -> list[Effect]:
@@ -142,37 +142,41 @@
 
     # A follower's part
 
-    def _handle_append_request(self, now: float, sender: str, word: AppendRequest) -> list[Effect]:
-        if word.term < self.term:
-            return [Send(sender, AppendResponse(self.id, self.term, False, self.last, word.round))]
-        voter = word.voter == self.id
-        if not voter and (word.first or not self._is_voter(self.name, self.id)):
+    def _handle_append_request(self, now: float, sender: str, message: AppendRequest) -> list[Effect]:
+        if message.term < self.term:
+            return [Send(sender, AppendResponse(self.id, self.term, False, self.last, message.round))]
+        voter = message.voter == self.id
+        if not voter and (message.first or not self._is_voter(self.name, self.id)):
             return self._handle_invitation(
                 now, sender
             )  # it fetches; a leader counts nobody who is not a voter
         out = (
-            self._become_follower(now, word.term, sender)
-            if (word.term, sender) != (self.term, self.leader)
+            self._become_follower(now, message.term, sender)
+            if (message.term, sender) != (self.term, self.leader)
             else []
         )
         self._due_at, self._led_at = self._election_deadline(now), now
         self._supported_at = now
-        self._note_progress(sender, word.id, word.term, word.kept)
+        self._note_progress(sender, message.id, message.term, message.kept)
         joins = voter and self.standing in (Standing.REPLACED, Standing.LEARNER)
         if self.standing not in ACKS and not joins:
             return out  # what it held and no disk will keep would pass for kept once the disk is back
-        if word.prev > self.last or (word.prev >= self.first and self.term_at(word.prev) != word.prev_term):
-            hint = min(word.prev - 1, self.last)
+        if message.prev > self.last or (
+            message.prev >= self.first and self.term_at(message.prev) != message.prev_term
+        ):
+            hint = min(message.prev - 1, self.last)
             # Whether the leader does not have what comes next; the version before does not say.
-            first = word.first or word.commit + 1 - SNAPSHOT_KEEP_ENTRIES
+            first = message.first or message.commit + 1 - SNAPSHOT_KEEP_ENTRIES
             if first > hint + 1 and (now >= self._pull_at or self._source != sender):
                 out += self._fetch(now, sender)
             return [
                 *out,
-                Send(sender, AppendResponse(self.id, self.term, False, max(hint, self.commit), word.round)),
+                Send(
+                    sender, AppendResponse(self.id, self.term, False, max(hint, self.commit), message.round)
+                ),
             ]
         writes: list = []
-        for index, entry in enumerate(word.entries, word.prev + 1):
+        for index, entry in enumerate(message.entries, message.prev + 1):
             if index < self.first or self.term_at(index) == entry.term:
                 continue
             if index <= self.last:
@@ -185,9 +189,9 @@
             writes.append(AppendToLog(index, entry))
         if any(isinstance(write, TruncateLog) or write.entry.kind == Kind.VOTERS for write in writes):
             self._set_voters()
-        held = word.prev + len(word.entries)
-        commit = min(word.commit, held)
-        answer = [Send(sender, AppendResponse(self.id, self.term, True, held, word.round))]
+        held = message.prev + len(message.entries)
+        commit = min(message.commit, held)
+        answer = [Send(sender, AppendResponse(self.id, self.term, True, held, message.round))]
         out += self._persist(*writes, then=answer) if writes else self._after_persisted(answer)
         if commit > self.commit:
             out += self._apply_committed(commit)
--- a/sableford/consensus/simulation/explorer.py
+++ b/sableford/consensus/simulation/explorer.py
@@ -1,9 +1,9 @@
-"""All orders of a small model of the record: three voters, a few elections, offers and crashes.
+"""All orders of a small model of the record: three voters, a few elections, proposals and crashes.
 
-It owns the model's bounds and its states. The cores are the real ones; words may be late for ever, which is
-a loss, and be said in any order, each disk keeps what it was given in order, one call at a time, and a
-crash loses what it has not. A question whether one may lead (pre-vote) and the hails after a start are
-exchanged at once, since neither leaves anything behind.
+It owns the model's bounds and its states. The cores are the real ones; messages may be late for ever, which
+is a loss, and arrive in any order, each disk keeps what it was given in order, one call at a time, and a
+crash loses what it has not. A question whether one may lead (pre-vote) and the questions of a process that
+starts are exchanged at once, since neither leaves anything behind.
 """
 
 from collections import deque
@@ -51,7 +51,7 @@
     orders cover all. `slow` disks keep what they are given at any later time, others at once."""
 
     stands: str = "ac"
-    offers: int = 1
+    proposals: int = 1
     crashes: str = ""  # who crashes, each once at any time
     slow: str = ""  # whose disk
     states: int = 20_000
@@ -60,7 +60,7 @@
 
 class _Used(NamedTuple):
     stands: int = 0
-    offers: int = 0
+    proposals: int = 0
     crashes: str = ""
 
 
@@ -90,7 +90,7 @@
             NAMES, (HardState(1, ""), (FIRST,))
         )
         self.queues: dict[str, tuple] = dict.fromkeys(NAMES, ())  # (number, deeds) not yet on disk
-        self.words: tuple = ()  # (from, to, word)
+        self.messages: tuple = ()  # (from, to, word)
         self.agreed: dict[int, Entry] = {}
         self.led: dict[int, str] = {}
         self.used = _Used()
@@ -135,7 +135,7 @@
             for core in self.cores.values()
         )
         queues = tuple(tuple(writes for _, writes in queue) for queue in self.queues.values())
-        return cores, queues, frozenset(self.words), tuple(self.disks.values()), self.used
+        return cores, queues, frozenset(self.messages), tuple(self.disks.values()), self.used
 
     # What happens
 
@@ -146,8 +146,8 @@
                     self.queues[name] = (*self.queues[name], (number, writes))
                     if name not in self._bounds.slow:
                         self.keep(name)
-                case raft_effects.Send(to, word):
-                    self._send(name, to, word)
+                case raft_effects.Send(to, message):
+                    self._send(name, to, message)
                 case Committed(index, entry, _):
                     if self.agreed.setdefault(index, entry) != entry:
                         raise Wrong(f"entry {index} settled twice")
@@ -155,57 +155,57 @@
                     if self.led.setdefault(term, name) != name:
                         raise Wrong(f"two lead term {term}")
 
-    def _send(self, name: str, to: str, word: object) -> None:
-        at_once = isinstance(word, StartupQuestion | StartupAnswer) or (
-            isinstance(word, VoteRequest | VoteResponse) and word.pre
+    def _send(self, name: str, to: str, message: object) -> None:
+        at_once = isinstance(message, StartupQuestion | StartupAnswer) or (
+            isinstance(message, VoteRequest | VoteResponse) and message.pre
         )
         if at_once:
             if to in self.cores:
-                self.do(to, self.cores[to].heard(self.now, name, 0, word))
-        elif not isinstance(word, FetchRequest) or self._bounds.fetches:
+                self.do(to, self.cores[to].heard(self.now, name, 0, message))
+        elif not isinstance(message, FetchRequest) or self._bounds.fetches:
             if isinstance(
-                word, AppendRequest | AppendResponse
+                message, AppendRequest | AppendResponse
             ):  # rounds are for reads, which are not part of the model
-                word = msgspec.structs.replace(word, round=0)
-            if (name, to, word) not in self.words:
-                self.words = (*self.words, (name, to, word))
+                message = msgspec.structs.replace(message, round=0)
+            if (name, to, message) not in self.messages:
+                self.messages = (*self.messages, (name, to, message))
 
     def prune(self) -> None:
         """Words that can change nothing any more are as good as lost."""
-        self.words = tuple(word for word in self.words if self._matters(*word))
+        self.messages = tuple(message for message in self.messages if self._matters(*message))
 
-    def _matters(self, start: str, to: str, word: object) -> bool:
+    def _matters(self, start: str, to: str, message: object) -> bool:
         core = self.cores[to]
-        match word:
+        match message:
             case VoteRequest():
-                return word.term > core.term or (word.term == core.term and core.vote in ("", start))
+                return message.term > core.term or (message.term == core.term and core.vote in ("", start))
             case VoteResponse():
-                counts = word.yes and word.term == core.term and bool(core._votes) and not core.leads
-                return counts or word.term > core.term
+                counts = message.yes and message.term == core.term and bool(core._votes) and not core.leads
+                return counts or message.term > core.term
             case AppendResponse():
-                return word.term > core.term or (core.leads and word.term == core.term)
+                return message.term > core.term or (core.leads and message.term == core.term)
         return True
 
     def steps_from(self, bounds: Bounds) -> Iterator[tuple[str, Callable[["State"], None]]]:
         """Everything that may happen next."""
         used = self.used
-        for at, (start, to, word) in enumerate(self.words):
-            kind = type(word).__name__
-            yield f"{to} hears {kind} of {start}: {word}", lambda it, at=at: it.deliver(at)
+        for at, (start, to, message) in enumerate(self.messages):
+            kind = type(message).__name__
+            yield f"{to} hears {kind} of {start}: {message}", lambda it, at=at: it.deliver(at)
         for name in NAMES:
             if self.queues[name]:
                 yield f"{name}'s disk keeps", lambda it, name=name: it.keep(name)
             if bounds.stands[used.stands : used.stands + 1] == name and not self.cores[name].leads:
                 yield f"{name} stands", lambda it, name=name: it.stand(name)
-            if used.offers < bounds.offers and self.cores[name].leads:
-                yield f"{name} is offered something", lambda it, name=name: it.offer(name)
+            if used.proposals < bounds.proposals and self.cores[name].leads:
+                yield f"{name} is offered something", lambda it, name=name: it.propose(name)
             if name in bounds.crashes and name not in used.crashes:
                 yield f"{name} crashes and starts", lambda it, name=name: it.crash(name)
 
     def deliver(self, at: int) -> None:
-        start, to, word = self.words[at]
-        self.words = self.words[:at] + self.words[at + 1 :]
-        self.do(to, self.cores[to].heard(self.now, start, 0, word))
+        start, to, message = self.messages[at]
+        self.messages = self.messages[:at] + self.messages[at + 1 :]
+        self.do(to, self.cores[to].heard(self.now, start, 0, message))
 
     def keep(self, name: str) -> None:
         (number, writes), *rest = self.queues[name]
@@ -231,9 +231,9 @@
         core._last_tick, core._due_at = self.now, self.now
         self.do(name, core.tick(self.now))
 
-    def offer(self, name: str) -> None:
-        self.used = self.used._replace(offers=self.used.offers + 1)
-        _, effects = self.cores[name].offer(self.now, put("k", b"%d" % self.used.offers))
+    def propose(self, name: str) -> None:
+        self.used = self.used._replace(proposals=self.used.proposals + 1)
+        _, effects = self.cores[name].propose(self.now, put("k", b"%d" % self.used.proposals))
         self.do(name, effects)
 
     def crash(self, name: str) -> None:
@@ -249,7 +249,7 @@
         if isinstance(value, list | dict | deque):
             new.__dict__[field] = copy(value)
     new._followers = {name: copy(one) for name, one in core._followers.items()}
-    new._offers = {number: copy(one) for number, one in core._offers.items()}
+    new._proposals = {number: copy(one) for number, one in core._proposals.items()}
     new.state_machine = copy(core.state_machine)
     new.state_machine.values, new.state_machine.taken = (
         dict(core.state_machine.values),
--- a/sableford/consensus/simulation/growth.py
+++ b/sableford/consensus/simulation/growth.py
@@ -54,7 +54,7 @@
         loss: float = 0.0,
     ) -> None:
         self.names, self.transport, self._make = list(names), transport, make
-        self.trial = Trial(seed, WAY, loss, lambda word: len(msgspec.json.encode(word)))
+        self.trial = Trial(seed, WAY, loss, lambda message: len(msgspec.json.encode(message)))
         self.trial.seen = self._seen
         self.members: dict[str, Member] = {}
         self._births = 0
@@ -115,15 +115,15 @@
         for core in self.cores.values():
             core.wanted = tuple(names)
 
-    def offer(self, name: str, data: bytes | None) -> int:
-        number, effects = self.cores[name].offer(self.trial.now, data)
+    def propose(self, name: str, data: bytes | None) -> int:
+        number, effects = self.cores[name].propose(self.trial.now, data)
         self.trial.do(name, effects)
         return number
 
     def agreed(self, data: bytes, within: float = 5000.0) -> bool:
         """Whether something offered to the leader is agreed on in time."""
         name = self.led().name
-        number = self.offer(name, data)
+        number = self.propose(name, data)
         answers = self.members[name].answers
         return self.run(within, lambda: number in answers) and answers[number].yes
 
@@ -186,7 +186,7 @@
     took = None
     while group.trial.now - began < 60_000.0:
         changes += 1
-        group.offer(group.led().name, _value(changes, value_bytes))
+        group.propose(group.led().name, _value(changes, value_bytes))
         # A voter again, with all that is agreed on.
         group.run(500.0, lambda: _caught_up(group, core))
         if _caught_up(group, core):
--- a/sableford/consensus/simulation/walk.py
+++ b/sableford/consensus/simulation/walk.py
@@ -20,7 +20,7 @@
 LIES = ("torn", "flip", "flip_end", "lost", "older", "emptied")
 FLUSH = (0.5, 30.0)  # ms of one flush
 REST = 6000.0  # ms after all faults for the walk to end in agreement
-OFFERED = 40.0  # ms between two offers
+PROPOSAL_INTERVAL = 40.0  # ms between two proposals
 STEP = 250.0  # ms between two faults
 
 
@@ -117,11 +117,11 @@
         self.starts = 0
         self.led: dict[int, str] = {}
         self.agreed: dict[int, object] = {}
-        self.acked: dict[int, int] = {}  # offers acknowledged: index by offer
+        self.acked: dict[int, int] = {}  # proposals acknowledged: index by proposal
         self.asked: dict[
             tuple[str, int], tuple[int, int | None]
-        ] = {}  # offer, or the least a read has to see
-        self.offers = self.reads = self.changes = 0
+        ] = {}  # proposal, or the least a read has to see
+        self.proposals = self.reads = self.changes = 0
         self.story: list[str] = []
         self.lying: str = ""  # who came back from a lie and does not vote again yet
         for name in self.names:
@@ -195,32 +195,32 @@
         store.free_at = max(free, self.trial.now) + self.draw.uniform(*FLUSH)
         self.trial.at(store.free_at, name, done)
 
-    # Offers and reads
+    # Proposals and reads
 
-    def offer(self, name: str) -> None:
+    def propose(self, name: str) -> None:
         core = self.trial.cores[name]
         if name in self.trial.dead or name in self.trial.stopped:
             return
         if self.draw.random() < 0.3:
-            number, effects = core.offer(self.trial.now, None)
+            number, effects = core.propose(self.trial.now, None)
             self.asked[name, number] = 0, max(self.acked.values(), default=0)
             self.reads += 1
         else:
-            self.offers += 1
+            self.proposals += 1
             key = f"k{self.draw.randrange(5)}"
-            number, effects = core.offer(self.trial.now, put(key, b"%d" % self.offers + self._more))
-            self.asked[name, number] = self.offers, None
+            number, effects = core.propose(self.trial.now, put(key, b"%d" % self.proposals + self._more))
+            self.asked[name, number] = self.proposals, None
         self.trial.do(name, effects)
 
     def _answer(self, name: str, number: int, yes: bool, index: int) -> None:
-        offer, least = self.asked.pop((name, number), (0, None))
+        proposal, least = self.asked.pop((name, number), (0, None))
         if not yes:
             return
         if least is not None:
             if index < least:
                 raise Wrong(f"{name} read up to {index}, and {least} was acknowledged before it asked")
-        elif offer:
-            self.acked[offer] = index
+        elif proposal:
+            self.acked[proposal] = index
 
     # The walk
 
@@ -262,14 +262,14 @@
 
     def run(self, steps: int) -> None:
         """Raises Wrong where something does not hold; else all agree at the end."""
-        next_offer = 500.0
+        next_proposal = 500.0
         self.trial.run(2500.0)
         for _ in range(steps):
             until = self.trial.now + self.draw.uniform(0.2, 2.0) * STEP
-            while next_offer < until:
-                self.trial.run(max(next_offer, self.trial.now))
-                self.offer(self.draw.choice(self.names))
-                next_offer = self.trial.now + self.draw.uniform(0.3, 2.0) * OFFERED
+            while next_proposal < until:
+                self.trial.run(max(next_proposal, self.trial.now))
+                self.propose(self.draw.choice(self.names))
+                next_proposal = self.trial.now + self.draw.uniform(0.3, 2.0) * PROPOSAL_INTERVAL
             self.trial.run(until)
             self.step()
         self.settle()
@@ -287,9 +287,9 @@
         before = len(self.acked)
         for name in self.names:
             core = self.trial.cores[name]
-            self.offers += 1
-            number, effects = core.offer(self.trial.now, put("last", name.encode()))
-            self.asked[name, number] = self.offers, None
+            self.proposals += 1
+            number, effects = core.propose(self.trial.now, put("last", name.encode()))
+            self.asked[name, number] = self.proposals, None
             self.trial.do(name, effects)
         self.trial.run(self.trial.now + REST / 2.0)
         if len(self.acked) < before + len(self.names):
--- a/sableford/consensus/snapshots.py
+++ b/sableford/consensus/snapshots.py
@@ -103,15 +103,15 @@
 
     # Serving those who fetch
 
-    def _handle_fetch_request(self, now: float, sender: str, word: FetchRequest) -> list[Effect]:
+    def _handle_fetch_request(self, now: float, sender: str, message: FetchRequest) -> list[Effect]:
         if self.leads:
             # It holds all that was agreed on when the last heartbeats went out.
-            self._learners[sender] = Learner(word.id, word.have >= self._round_commit, now)
+            self._learners[sender] = Learner(message.id, message.have >= self._round_commit, now)
         if (follower := self._followers.get(sender)) is not None:
             follower.fetched_at = now
-        if word.have < self.first - 1 and self.snapshot is not None:
-            return self._serve_snapshot(now, sender, word)
-        batches = self._batches(max(word.have + 1, self.first))
+        if message.have < self.first - 1 and self.snapshot is not None:
+            return self._serve_snapshot(now, sender, message)
+        batches = self._batches(max(message.have + 1, self.first))
         through = batches[-1][0] + len(batches[-1][1]) - 1
         return [
             Send(sender, FetchResponse(self.term, first, self.commit, entries, self.leader, through))
@@ -133,11 +133,11 @@
             first = end
         return out
 
-    def _serve_snapshot(self, now: float, sender: str, word: FetchRequest) -> list[Effect]:
+    def _serve_snapshot(self, now: float, sender: str, message: FetchRequest) -> list[Effect]:
         """The next pieces: of the snapshot that was begun, while it is held, else of the newest. Whoever
         fetches one is not made to start over by each new one."""
-        held, start = self._served_snapshots, word.at
-        last = word.snap
+        held, start = self._served_snapshots, message.at
+        last = message.snap
         if last not in held:
             last, start = self.snapshot.last, 0
         if last not in held:
@@ -161,35 +161,35 @@
 
     # What was fetched
 
-    def _handle_fetch_response(self, now: float, sender: str, word: FetchResponse) -> list[Effect]:
+    def _handle_fetch_response(self, now: float, sender: str, message: FetchResponse) -> list[Effect]:
         """Agreed on, so it is taken as it stands. A voter's log is its leader's business; but one without a
         leader, or that its leader does not name, may have been replaced, and learns it so."""
         votes = self._is_voter(self.name, self.id)
         invited = now - self._invited_at <= FETCH_INTERVAL
         if self.leads or (votes and not invited and not self._leaderless(now)):
             return []
-        if word.first > self.commit + 1:  # another of the same answer is late, or lost
+        if message.first > self.commit + 1:  # another of the same answer is late, or lost
             if len(self._early) < self._transport.pieces:
-                self._early[word.first] = word
+                self._early[message.first] = message
             self._pull_at = min(self._pull_at, now + FETCH_RETRY)
             return []
-        self.leader, self._unanswered = self.leader if votes else word.leader, 0
-        out, follows, agreed = [], word, self.commit
+        self.leader, self._unanswered = self.leader if votes else message.leader, 0
+        out, follows, agreed = [], message, self.commit
         while follows is not None:
             out += self._take_agreed(follows)
             follows = self._early.pop(self.commit + 1, None)
         if self.commit > agreed:
             self._fetching = None  # entries will do
-        if word.commit <= self.commit:
+        if message.commit <= self.commit:
             return out
-        if self.commit >= word.through > 0 and self.commit > self._asked_after:
+        if self.commit >= message.through > 0 and self.commit > self._asked_after:
             return out + self._fetch(now, sender)
-        self._pull_at = min(self._pull_at, now + (FETCH_RETRY if word.through else 0.0))
+        self._pull_at = min(self._pull_at, now + (FETCH_RETRY if message.through else 0.0))
         return out
 
-    def _take_agreed(self, word: FetchResponse) -> list[Effect]:
+    def _take_agreed(self, message: FetchResponse) -> list[Effect]:
         writes: list = []
-        for index, entry in enumerate(word.entries, word.first):
+        for index, entry in enumerate(message.entries, message.first):
             if index <= self.commit or self.term_at(index) == entry.term:
                 continue
             if index <= self.last:  # from a leader of before, and never agreed on
@@ -201,23 +201,25 @@
         out = self._persist(*writes) if writes else []
         if any(isinstance(write, TruncateLog) or write.entry.kind == Kind.VOTERS for write in writes):
             self._set_voters()
-        told = word.first + len(word.entries) - 1
-        return out + self._apply_committed(min(told, word.commit)) if told > self.commit else out
+        told = message.first + len(message.entries) - 1
+        return out + self._apply_committed(min(told, message.commit)) if told > self.commit else out
 
-    def _handle_snapshot_chunk(self, now: float, sender: str, word: SnapshotChunk) -> list[Effect]:
-        if word.last <= self.commit or not 0 <= word.at < word.of or sender != self._source:
+    def _handle_snapshot_chunk(self, now: float, sender: str, message: SnapshotChunk) -> list[Effect]:
+        if message.last <= self.commit or not 0 <= message.at < message.of or sender != self._source:
             return []
         self._unanswered = 0
         one = self._fetching
-        if one is None or (one.source, one.last, one.size) != (sender, word.last, word.of):
-            if word.at:  # late, of one that was given up
+        if one is None or (one.source, one.last, one.size) != (sender, message.last, message.of):
+            if message.at:  # late, of one that was given up
                 return []
-            one = self._fetching = FetchedSnapshot(sender, word.last, word.of)
-        one.take(word.at, word.data)
+            one = self._fetching = FetchedSnapshot(sender, message.last, message.of)
+        one.take(message.at, message.data)
         if len(one.data) >= one.size:
             return self._install_snapshot(now, one)
         self._pull_at = now + self._transport.fetch_retry
-        over = len(one.data) >= word.through if word.through else len(one.data) % OLD_SNAPSHOT_WINDOW == 0
+        over = (
+            len(one.data) >= message.through if message.through else len(one.data) % OLD_SNAPSHOT_WINDOW == 0
+        )
         return self._fetch(now, sender) if over and len(one.data) > one.asked_at else []
 
     def _install_snapshot(self, now: float, fetched: FetchedSnapshot) -> list[Effect]:
--- a/sableford/consensus/startup.py
+++ b/sableford/consensus/startup.py
@@ -4,7 +4,7 @@
 its process votes again only under a new id.
 """
 
-from sableford.consensus.constants import HAIL_INTERVAL, HEARTBEAT, UNKNOWN
+from sableford.consensus.constants import HEARTBEAT, STARTUP_QUESTION_INTERVAL, UNKNOWN
 from sableford.consensus.effects import Effect, HardState, ReplaceLog, Send, Standing
 from sableford.consensus.messages import StartupAnswer, StartupQuestion
 from sableford.consensus.raft_state import RaftState
@@ -12,21 +12,21 @@
 
 
 class Startup(RaftState):
-    """Hails, and the standing that follows from their answers."""
+    """Startup questions, and the standing that follows from their answers."""
 
     def _ask_about_past(self, now: float) -> list[Effect]:
-        self._hail_at = now + HAIL_INTERVAL
+        self._startup_question_at = now + STARTUP_QUESTION_INTERVAL
         out: list[Effect] = []
-        word = StartupQuestion(self.id, self.term, self.durable, self.knows_voter_ids())
-        out += [Send(name, word) for name in self._peers()]
+        message = StartupQuestion(self.id, self.term, self.durable, self.knows_voter_ids())
+        out += [Send(name, message) for name in self._peers()]
         return out + self._decide_standing(now)
 
     def _decide_standing(self, now: float) -> list[Effect]:
-        """What the answers to a hail come to."""
+        """What the answers to a startup question come to."""
         voters = self._voters if self.knows_voter_ids() else self._names
         others = [name for name in voters if name != self.name]
         named = any(
-            hail.knows_voter_ids for hail in self._startup_answers.values()
+            answer.knows_voter_ids for answer in self._startup_answers.values()
         )  # with this folder, or it were a stranger
         if self.standing is Standing.NEW and not named:
             # A record that all are new to begins with all of them, or another one's past would be lost.
@@ -35,7 +35,7 @@
             return []
         answers = {name for name in others if name in self._startup_answers}
         if self._majority(answers | {self.name}) and (
-            len(answers) == len(others) or now >= self._hail_from + self._hail_wait
+            len(answers) == len(others) or now >= self._startup_began_at + self._startup_answer_timeout
         ):
             if self._lost is not None and not self._has_regained():
                 return self._set_standing(Standing.INCOMPLETE, f"its disk lost entries up to {self._lost[1]}")
@@ -50,14 +50,16 @@
         """Leaders of that term or later alone have filled it up again: earlier ones are not heeded."""
         return self.durable >= self._lost[1]
 
-    def _handle_startup_question(self, now: float, sender: str, word: StartupQuestion) -> list[Effect]:
+    def _handle_startup_question(self, now: float, sender: str, message: StartupQuestion) -> list[Effect]:
         if UNKNOWN in self._voters.values():
             # A newcomer that has not read yet who votes. Others need not wait for what it has lost.
-            return [Send(sender, StartupAnswer(self.id, "", 0, 0, False, {}))] if word.knows_voter_ids else []
+            return (
+                [Send(sender, StartupAnswer(self.id, "", 0, 0, False, {}))] if message.knows_voter_ids else []
+            )
         answer = self._known_past_of(sender)
-        self._note_progress(sender, word.id, word.term, word.last)
-        if self.leads and self._voters.get(sender) not in (word.id, "", None):
-            self._note_other_disk(now, sender, word.id)
+        self._note_progress(sender, message.id, message.term, message.last)
+        if self.leads and self._voters.get(sender) not in (message.id, "", None):
+            self._note_other_disk(now, sender, message.id)
         return [Send(sender, answer)]
 
     def _known_past_of(self, name: str) -> StartupAnswer:
@@ -75,19 +77,24 @@
         if known[0] != id or (term, last) > known[1:]:
             self._progress[name] = id, term, last
 
-    def _handle_startup_answer(self, now: float, sender: str, word: StartupAnswer) -> list[Effect]:
+    def _handle_startup_answer(self, now: float, sender: str, message: StartupAnswer) -> list[Effect]:
         if self.standing in (Standing.LEARNER, Standing.REPLACED, Standing.NO_DISK):
             return []
-        self._startup_answers[sender] = word
-        past = word.your_id == self.id and (word.your_term, word.your_last) > (self.term, self.durable)
+        self._startup_answers[sender] = message
+        past = message.your_id == self.id and (message.your_term, message.your_last) > (
+            self.term,
+            self.durable,
+        )
         # Others had more from this folder than it holds, or have agreed on voters without it: if they know
         # what it knows, and are not behind it themselves.
-        behind = 0 <= word.agreed < self._voters_index()
-        other = word.knows_voter_ids and word.voters.get(self.name) != self.id and not behind
+        behind = 0 <= message.agreed < self._voters_index()
+        other = message.knows_voter_ids and message.voters.get(self.name) != self.id and not behind
         if past or (other and self.standing in (Standing.NEW, Standing.ASKING)):
             why = f"{sender} knows another folder of this name"
             if past:
-                why = f"{sender} heard of entry {word.your_last} of term {word.your_term}, it ends before"
+                why = (
+                    f"{sender} heard of entry {message.your_last} of term {message.your_term}, it ends before"
+                )
             out = self._set_standing(Standing.REPLACED, why)
             return out + self._start_over()
         return self._decide_standing(now) if self.standing in (Standing.NEW, Standing.ASKING) else []
--- a/sableford/consensus/state_machine.py
+++ b/sableford/consensus/state_machine.py
@@ -1,4 +1,4 @@
-"""What the entries add up to: keys with values, and whose offers have been taken.
+"""What the entries add up to: keys with values, and whose proposals have been taken.
 
 It owns the state after each entry. An entry of a kind that this version does not know stops it: whatever
 came after would stand on something else than at the others.
@@ -10,7 +10,7 @@
 
 from sableford.consensus.messages import Entry, Kind, Put
 
-AUTHORS = 4096  # whose last offers are remembered, the oldest going first: far more than schedulers
+AUTHORS = 4096  # whose last proposals are remembered, the oldest going first: far more than schedulers
 WINDOW = 512  # numbers of one author remembered: twice what it may have under way at once
 PAIR_BYTES = 12  # of one number that is remembered, in a snapshot
 TAKEN_PAIRS = 16_384  # numbers of all authors remembered, the longest idle author's going first: some 200 kB
@@ -42,7 +42,7 @@
         self.stopped = ""  # why it goes no further
 
     def apply(self, index: int, entry: Entry) -> bool:
-        """One more entry; whether it had its effect. An offer taken already has none again.
+        """One more entry; whether it had its effect. A proposal taken already has none again.
 
         >>> machine, put = StateMachine(), msgspec.msgpack.encode(Put("a", b"1"))
         >>> [machine.apply(at, Entry(1, Kind.PUT, "x", 1, put)) for at in (1, 2)]
@@ -81,7 +81,7 @@
         return authors + sum(len(key) + len(value.data) for key, value in self.values.items())
 
     def known(self, author: str, number: int) -> tuple[int, bool] | None:
-        """Where an offer stands and whether it held; one before all that is remembered counts as taken."""
+        """Where a proposal stands and whether it held; one before all that is remembered counts as taken."""
         taken = self.taken.get(author)
         if not taken:
             return None
--- a/sableford/control/configuration_keeper.py
+++ b/sableford/control/configuration_keeper.py
@@ -67,7 +67,7 @@
 
     async def _propose(self, state: orders.State, timeout_ms: float) -> ProposalOutcome:
         data = put(CONFIGURATION_KEY, state.dump(), state.entry)
-        result = await self._driver.offer(data, timeout_ms)
+        result = await self._driver.propose(data, timeout_ms)
         if result is None:
             return ProposalOutcome.UNKNOWN
         if result.accepted:
@@ -87,6 +87,6 @@
         changes = [put(segment.key, segment.dump(), 0)]
         changes += [put(key, None) for key in self._archive.expired(unix_ms)]
         for data in changes:
-            task = self._loop.create_task(self._driver.offer(data))
+            task = self._loop.create_task(self._driver.propose(data))
             self._archiving.add(task)
             task.add_done_callback(self._archiving.discard)
--- a/sableford/control/membership_model.py
+++ b/sableford/control/membership_model.py
@@ -364,9 +364,9 @@
         for effect in effects:
             match effect:
                 case AddStore(name):
-                    self._changes.append(partial(self.offer_roster, self.registering(name), name))
+                    self._changes.append(partial(self.propose_roster, self.registering(name), name))
                 case RemoveStore(name):
-                    self._changes.append(partial(self.offer_roster, self.striking(name), name))
+                    self._changes.append(partial(self.propose_roster, self.striking(name), name))
         view = self.coordinator.view
         if view.number > self.view.number:
             self.view = view
@@ -436,7 +436,7 @@
         if self._changes and not self._changing:
             self._changes.pop(0)()
 
-    def offer_roster(self, change: Callable[[], Roster], name: str) -> None:
+    def propose_roster(self, change: Callable[[], Roster], name: str) -> None:
         """Decided when its turn comes; in force once agreed on."""
         roster = change()
         self._changing = True
@@ -472,7 +472,7 @@
             if roster != self.roster:
                 self.check_retirement(roster)
             self.say(f"{name} is to be emptied")
-            self.offer_roster(lambda: roster, name)
+            self.propose_roster(lambda: roster, name)
 
         self._changes.append(decide)
 
--- a/sableford/control/record_driver.py
+++ b/sableford/control/record_driver.py
@@ -1,4 +1,4 @@
-"""Runs this machine's side of the replicated record: its messages, its disk, and the offers made here.
+"""Runs this machine's side of the replicated record: its messages, its disk, and the proposals made here.
 
 The record itself (`sableford.consensus`) decides without I/O; this module carries out what it asks for.
 """
@@ -22,8 +22,8 @@
 from sableford.transport.link import IncomingMessage, Link
 from sableford.transport.link_pool import LinkPool
 
-HAIL_WAIT_MS = 400.0  # a starting voter waits for all voters: one that runs answers in a few
-OFFER_TIMEOUT_MS = 3000.0  # for a majority to agree on an entry; its caller asks again
+STARTUP_ANSWER_TIMEOUT_MS = 400.0  # a starting voter waits for all voters: one that runs answers in a few
+PROPOSAL_TIMEOUT_MS = 3000.0  # for a majority to agree on an entry; its caller asks again
 REWRITE_AFTER_S = 1.0  # a write that failed is tried again, all of it anew
 MAX_VALUE_BYTES = 1_048_576  # some of the largest configurations that a call may carry
 
@@ -31,8 +31,8 @@
 _decode = msgspec.json.Decoder(raft_messages.RaftMessage).decode
 
 
-class OfferResult(NamedTuple):
-    """What came of an offer: whether it is in force, at which position of the log, and if not why."""
+class ProposalResult(NamedTuple):
+    """What came of a proposal: whether it is in force, at which position of the log, and if not why."""
 
     accepted: bool
     position: int
@@ -59,7 +59,7 @@
         self.record: RaftNode | None = None
         self._writer: RecordWriter | None = None
         self._incarnation = int.from_bytes(os.urandom(6), "little")
-        self._offers: dict[int, asyncio.Future[OfferResult]] = {}
+        self._proposals: dict[int, asyncio.Future[ProposalResult]] = {}
         self._incoming_links: dict[str, Link] = {}  # on which others' messages of the record came
 
     def start(self, storage: RecordStorage, seeds: Iterable[str]) -> RaftNode:
@@ -76,7 +76,7 @@
             crc32(self._name.encode()),
             most=MAX_VALUE_BYTES,
             newcomer=is_newcomer,
-            hail_wait=HAIL_WAIT_MS,
+            startup_answer_timeout=STARTUP_ANSWER_TIMEOUT_MS,
             transport=STREAMS,
         )
         return self.record
@@ -120,55 +120,57 @@
         if self.record is None:
             return
         try:
-            word = _decode(incoming.body)
+            message = _decode(incoming.body)
         except msgspec.MsgspecError:
             self._log.event("record_message_unreadable", sender=incoming.sender)
             return
         sender = incoming.message.sender
         self._incoming_links[sender] = incoming.link
-        self.carry_out(self.record.heard(self._now(), sender, incoming.message.incarnation, word))
+        self.carry_out(self.record.heard(self._now(), sender, incoming.message.incarnation, message))
         self._on_event()
 
-    async def offer(self, data: bytes | None, timeout_ms: float = OFFER_TIMEOUT_MS) -> OfferResult | None:
+    async def propose(
+        self, data: bytes | None, timeout_ms: float = PROPOSAL_TIMEOUT_MS
+    ) -> ProposalResult | None:
         """Proposes an entry, or with no data asks a majority to confirm what is in force. None where it is
         not known what came of it."""
         assert self.record is not None, "not started"
-        number, effects = self.record.offer(self._now(), data)
-        future = self._offers[number] = self._loop.create_future()
+        number, effects = self.record.propose(self._now(), data)
+        future = self._proposals[number] = self._loop.create_future()
         self.carry_out(effects)
         try:
             async with asyncio.timeout(timeout_ms / 1000.0):
-                result: OfferResult = await future
+                result: ProposalResult = await future
                 return result
         except TimeoutError:
             self.record.drop(number)
             return None
         finally:
-            self._offers.pop(number, None)
+            self._proposals.pop(number, None)
 
     def carry_out(self, effects: Iterable[raft_effects.Effect]) -> None:
         """What the record asks for, in its order."""
         for effect in effects:
             match effect:
-                case raft_effects.Send(to, word):
-                    self._send(to, word)
+                case raft_effects.Send(to, message):
+                    self._send(to, message)
                 case raft_effects.Persist():
                     assert self._writer is not None, "not started"
                     self._writer.keep(effect)
                 case raft_effects.ProposalResult(number, accepted, index, why):
-                    future = self._offers.pop(number, None)
+                    future = self._proposals.pop(number, None)
                     if future is not None and not future.done():
-                        future.set_result(OfferResult(accepted, index, why))
+                        future.set_result(ProposalResult(accepted, index, why))
                 case raft_effects.Committed() | raft_effects.SnapshotInstalled():
                     self._on_applied()
                 case raft_effects.LogEvent(event, fields):
                     self._log.event(event, **fields)
 
-    def _send(self, to: str, word: raft_messages.RaftMessage) -> None:
+    def _send(self, to: str, message: raft_messages.RaftMessage) -> None:
         # A store that lost its disk knows of few others, and answers whoever asks.
         link = self._links.link(to) or self._incoming_links.get(to)
         if link is not None:
-            link.send(RecordMessage(self._name, self._incarnation), _encode(word))
+            link.send(RecordMessage(self._name, self._incarnation), _encode(message))
 
     def _stored(self, number: int, problem: BaseException | None) -> None:
         assert self.record is not None, "not started"
--- a/sableford/control/roster_manager.py
+++ b/sableford/control/roster_manager.py
@@ -74,7 +74,7 @@
                 wanted, index = change(self.roster), self._index
                 if wanted == self.roster:
                     return Outcome.IN_FORCE
-                result = await self._driver.offer(put(ROSTER_KEY, wanted.dump(), index))
+                result = await self._driver.propose(put(ROSTER_KEY, wanted.dump(), index))
                 if result is None:
                     return Outcome.UNCLEAR
                 if self._index == index:
--- a/sableford/control/service.py
+++ b/sableford/control/service.py
@@ -4,7 +4,7 @@
 passed on to the leader.
 
     part                    owns
-    `record_driver`         this machine's side of the record, offers
+    `record_driver`         this machine's side of the record, proposals
     `configuration_keeper`  the configuration in force, proposals
     `roster_manager`        the roster, its changes
     `voter_manager`         who is to vote
@@ -289,7 +289,7 @@
     async def majority(self, timeout_ms: float) -> bool:
         """Whether a majority, asked from now on, takes this process for up to date: then it knows all that
         was agreed on before the question."""
-        result = await self.driver.offer(None, timeout_ms)
+        result = await self.driver.propose(None, timeout_ms)
         self._apply_values()
         return result is not None and result.accepted
 
@@ -309,8 +309,8 @@
             await self.applied(self.coordinator.update_number, ALL_ROLES)
 
     async def confirms_roster(self) -> bool:
-        """Whether a majority confirms what is in force, within the time of an offer."""
-        result = await self.driver.offer(None)
+        """Whether a majority confirms what is in force, within the time of a proposal."""
+        result = await self.driver.propose(None)
         return result is not None and result.accepted
 
     async def retire(self, node: str) -> Outcome:
--- a/sableford/fleet/actor.py
+++ b/sableford/fleet/actor.py
@@ -322,7 +322,7 @@
                 case raft_effects.Committed() | raft_effects.SnapshotInstalled():
                     pass
                 case _:
-                    self._send(effect.to, effect.place, effect.word)
+                    self._send(effect.to, effect.place, effect.message)
         self._keep()
 
     def _ask(self, now: float, message: Asked) -> None:
@@ -331,7 +331,7 @@
             message.reply.put((False, 0, "the folder is not open"))
             return
         data = None if message.value is None else put(message.key, message.value)
-        number, effects = self._record.offer(now, data)
+        number, effects = self._record.propose(now, data)
         self._replies[number] = message.reply if data is not None else _Reading(message, self._record)
         self._do(effects)
         asyncio.get_running_loop().call_later(self._limits.call_in / 1000.0, self._drop, number)
--- a/sableford/fleet/membership/core.py
+++ b/sableford/fleet/membership/core.py
@@ -53,7 +53,7 @@
 
     to: str
     place: str
-    word: Words
+    message: Words
 
 
 class Changed(NamedTuple):
--- a/sableford/fleet/trial.py
+++ b/sableford/fleet/trial.py
@@ -92,11 +92,11 @@
 
     def _do(self, core: Core, effects: list) -> None:
         for effect in effects:
-            word = getattr(effect, "word", None)
-            if word is None:
+            message = getattr(effect, "message", None)
+            if message is None:
                 self.seen(core.name, effect)
             else:
-                self._send(core, effect.to, word)
+                self._send(core, effect.to, message)
         self._follow(core)
 
     def _send(self, core: Core, to: str, word: object) -> None:
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -25,7 +25,7 @@
 from sableford.control import configuration_keeper, order_process, orders, roster_manager
 from sableford.control.member_client import MemberClient
 from sableford.control.protocol import Update
-from sableford.control.record_driver import OfferResult, RecordDriver
+from sableford.control.record_driver import ProposalResult, RecordDriver
 from sableford.control.requests import ConfigurationOrder
 from sableford.control.service import ControlService
 from sableford.control.simulation.judges import Finding
@@ -46,10 +46,10 @@
 
 
 def reads_without_majority(original: Callable) -> Callable:
-    async def offer(self: RecordDriver, data: bytes | None, *given: Any) -> Any:
-        return OfferResult(True, 0, "") if data is None else await original(self, data, *given)
+    async def propose(self: RecordDriver, data: bytes | None, *given: Any) -> Any:
+        return ProposalResult(True, 0, "") if data is None else await original(self, data, *given)
 
-    return offer
+    return propose
 
 
 def leads_while_it_believes(original: Callable) -> Callable:
@@ -62,13 +62,13 @@
 
 
 def acknowledged_before_agreed(original: Callable) -> Callable:
-    async def offer(self: RecordDriver, data: bytes | None, *given: Any) -> Any:
+    async def propose(self: RecordDriver, data: bytes | None, *given: Any) -> Any:
         if data is None:
             return await original(self, data, *given)
         self._loop.create_task(original(self, data, *given))
-        return OfferResult(True, 0, "")
+        return ProposalResult(True, 0, "")
 
-    return offer
+    return propose
 
 
 def base_not_compared(original: Callable) -> Callable:
@@ -252,10 +252,10 @@
 
 MISTAKES = {
     "reads are served without asking a majority": Mistake(
-        RecordDriver, "offer", reads_without_majority, LOST, LEADERS, also=(LEADS, STEPS_DOWN)
+        RecordDriver, "propose", reads_without_majority, LOST, LEADERS, also=(LEADS, STEPS_DOWN)
     ),
     "orders are acknowledged before they are agreed on": Mistake(
-        RecordDriver, "offer", acknowledged_before_agreed, LOST, CROWD
+        RecordDriver, "propose", acknowledged_before_agreed, LOST, CROWD
     ),
     "an order's base is not compared": Mistake(order_process, "decide", base_not_compared, LOST | REPEATS),
     "an order is put without compare-and-set": Mistake(
--- a/tests/record.py
+++ b/tests/record.py
@@ -19,9 +19,9 @@
 class NoLook(RaftNode):
     """Votes for whoever asks first, however little it holds."""
 
-    def _handle_vote_request(self, now, sender, word):
+    def _handle_vote_request(self, now, sender, message):
         return super()._handle_vote_request(
-            now, sender, msgspec.structs.replace(word, last=10**6, last_term=10**6)
+            now, sender, msgspec.structs.replace(message, last=10**6, last_term=10**6)
         )
 
 
@@ -29,7 +29,7 @@
     """Says what it voted before that is on disk."""
 
     def _persist(self, *deeds, then=None):
-        votes = [e for e in then or () if not (isinstance(e, Send) and isinstance(e.word, AppendResponse))]
+        votes = [e for e in then or () if not (isinstance(e, Send) and isinstance(e.message, AppendResponse))]
         if votes and all(isinstance(deed, HardState) for deed in deeds):
             rest = [effect for effect in votes if isinstance(effect, raft_effects.OwnVoteCounts)]
             said = [effect for effect in votes if effect not in rest]
@@ -41,7 +41,7 @@
     """Says that it holds entries before they are on disk."""
 
     def _persist(self, *deeds, then=None):
-        if then and any(isinstance(e, Send) and isinstance(e.word, AppendResponse) for e in then):
+        if then and any(isinstance(e, Send) and isinstance(e.message, AppendResponse) for e in then):
             return super()._persist(*deeds) + list(then)
         return super()._persist(*deeds, then=then)
 
@@ -49,8 +49,8 @@
 class Meek(RaftNode):
     """Takes entries from a leader of an earlier term, over what was agreed on."""
 
-    def _handle_append_request(self, now, sender, word):
-        later = msgspec.structs.replace(word, term=max(word.term, self.term))
+    def _handle_append_request(self, now, sender, message):
+        later = msgspec.structs.replace(message, term=max(message.term, self.term))
         return super()._handle_append_request(now, sender, later)
 
 
@@ -98,12 +98,12 @@
 
 
 def shows_walks_with_crashes_cuts_and_full_disks_lose_nothing_and_end_in_agreement() -> None:
-    offers = reads = leaders = 0
+    proposals = reads = leaders = 0
     for seed in range(60):
         walk = Walk(seed, voters=3 if seed % 3 else 5, lies=())
         walk.run(30)
-        offers, reads, leaders = offers + walk.offers, reads + walk.reads, leaders + walk.changes
-    assert offers > 4000 and reads > 1500 and leaders > 90, (offers, reads, leaders)
+        proposals, reads, leaders = proposals + walk.proposals, reads + walk.reads, leaders + walk.changes
+    assert proposals > 4000 and reads > 1500 and leaders > 90, (proposals, reads, leaders)
 
 
 def shows_walks_with_folders_torn_flipped_lost_set_back_and_emptied_lose_nothing_either() -> None:
@@ -114,7 +114,7 @@
         told += walk.story
     said = "\n".join(told)
     counts = [
-        said.count(word) for word in ("'REPLACED'", "'INCOMPLETE'", "readmitted", "fetched what it lost")
+        said.count(phrase) for phrase in ("'REPLACED'", "'INCOMPLETE'", "readmitted", "fetched what it lost")
     ]
     assert counts[0] > 20 and counts[1] > 1 and counts[2] > 20 and counts[3] > 1, counts
 
--- a/tests/record_disks.py
+++ b/tests/record_disks.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from sableford.consensus import messages as words
+from sableford.consensus import messages
 from sableford.consensus.constants import DATAGRAMS, STREAMS
 from sableford.consensus.effects import (
     AppendToLog,
@@ -48,7 +48,7 @@
     for number in numbers[1:]:
         told += core.stored(2.0, number)
     assert core.standing is Standing.NO_DISK and core.durable == 0
-    assert not [one for one in told if isinstance(one, Send) and isinstance(one.word, AppendResponse)]
+    assert not [one for one in told if isinstance(one, Send) and isinstance(one.message, AppendResponse)]
     [whole] = core.rewrite()
     assert core.rewrite() == []  # one at a time
     core.stored(3.0, whole.number)
@@ -184,20 +184,20 @@
         new = AppendRequest("i", 1, 2, 1, 2, 3, 4, (Entry(1, 0),), 9, "you")
         old = codec.decode(codec.encode(new), type=OldAppend)
         assert old.entries == new.entries and old.kept == 4
-        back = codec.decode(codec.encode(old), type=words.RaftMessage)
+        back = codec.decode(codec.encode(old), type=messages.RaftMessage)
         assert (back.first, back.voter) == (0, "")
         snap = codec.decode(codec.encode(SnapshotChunk(9, 0, 5, b"12345", 5)), type=OldSnap)
-        assert codec.decode(codec.encode(snap), type=words.RaftMessage).through == 0
+        assert codec.decode(codec.encode(snap), type=messages.RaftMessage).through == 0
 
 
 def shows_a_snapshot_comes_whole_from_and_to_the_version_before() -> None:
     """It neither says how far an answer goes nor holds the snapshot that was begun."""
 
     class Before(RaftNode):
-        def _serve_snapshot(self, now, sender, word):
+        def _serve_snapshot(self, now, sender, message):
             self._transport = DATAGRAMS
-            told = super()._serve_snapshot(now, sender, word)
-            return [one._replace(word=msgspec.structs.replace(one.word, through=0)) for one in told]
+            told = super()._serve_snapshot(now, sender, message)
+            return [one._replace(message=msgspec.structs.replace(one.message, through=0)) for one in told]
 
     server = Before("a", 1, ["a"], StoredState("folder of a"), 0.0, 1)
     server.entries.append(Entry(1, Kind.PUT, "a#1", 1, put("k", b"x" * 100_000)))
@@ -210,9 +210,9 @@
         asked += learner.tick(now)
         while asked:
             fetch = asked.pop(0)
-            if isinstance(fetch, Send) and isinstance(fetch.word, FetchRequest):
-                for answer in server.heard(now, "b", 1, fetch.word):
-                    asked += learner.heard(now, "a", 1, answer.word)
+            if isinstance(fetch, Send) and isinstance(fetch.message, FetchRequest):
+                for answer in server.heard(now, "b", 1, fetch.message):
+                    asked += learner.heard(now, "a", 1, answer.message)
     assert learner.commit == 1 and learner.state_machine.values["k"].data == b"x" * 100_000
 
 
@@ -220,12 +220,12 @@
     """It asks for one only where it is a thousand entries behind, or has been sent a piece."""
 
     class Before(RaftNode):
-        def _handle_append_request(self, now, sender, word):
-            return super()._handle_append_request(now, sender, msgspec.structs.replace(word, first=0))
+        def _handle_append_request(self, now, sender, message):
+            return super()._handle_append_request(now, sender, msgspec.structs.replace(message, first=0))
 
-        def _handle_snapshot_chunk(self, now, sender, word):
+        def _handle_snapshot_chunk(self, now, sender, message):
             self._source = sender
-            return super()._handle_snapshot_chunk(now, sender, msgspec.structs.replace(word, through=0))
+            return super()._handle_snapshot_chunk(now, sender, msgspec.structs.replace(message, through=0))
 
     group = Group("abc", DATAGRAMS)
     leader = group.led()
--- a/tests/record_growth.py
+++ b/tests/record_growth.py
@@ -57,17 +57,17 @@
     group = Group("abc")
     leader = group.led()
     group.trial.cut = lambda start, end: start == leader.name
-    number = group.offer(leader.name, put("k", b"1"))
+    number = group.propose(leader.name, put("k", b"1"))
     for _ in range(100):
         for _ in range(10):
-            group.offer(leader.name, None)
-        for waiting in list(leader._offers):
+            group.propose(leader.name, None)
+        for waiting in list(leader._proposals):
             if waiting != number:
                 leader.drop(waiting)
     group.trial.cut = lambda start, end: False
     group.run(3000.0)
     assert group.members[leader.name].answers[number].yes
-    assert group.offer(leader.name, put("k", b"2")) == number + 1
+    assert group.propose(leader.name, put("k", b"2")) == number + 1
 
 
 # Catching up
@@ -76,9 +76,9 @@
 class Old(RaftNode):
     """As before: it has a snapshot only of its newest state, for whoever has fetched half of another."""
 
-    def _serve_snapshot(self, now, sender, word):
+    def _serve_snapshot(self, now, sender, message):
         self._served_snapshots.clear()
-        return super()._serve_snapshot(now, sender, word)
+        return super()._serve_snapshot(now, sender, message)
 
 
 def fetched(make: type[RaftNode]) -> bool:
@@ -102,10 +102,10 @@
         now += 100.0
         if turn % 3 == 0:
             change()
-        asked = [one.word for one in learner.tick(now) if isinstance(one, Send)]
+        asked = [one.message for one in learner.tick(now) if isinstance(one, Send)]
         for fetch in asked[:1]:
             for answer in server.heard(now, "b", 1, fetch):
-                learner.heard(now, "a", 1, answer.word)
+                learner.heard(now, "a", 1, answer.message)
         if learner.commit:
             return True
     return False
@@ -139,7 +139,7 @@
 
 
 def fetches(effects: list) -> list[FetchRequest]:
-    return [one.word for one in effects if isinstance(one, Send) and isinstance(one.word, FetchRequest)]
+    return [one.message for one in effects if isinstance(one, Send) and isinstance(one.message, FetchRequest)]
 
 
 def shows_a_voter_whose_last_entry_is_not_the_one_before_the_leaders_log_fetches_the_snapshot() -> None:
@@ -177,10 +177,10 @@
     told = []
     seen = group.trial.seen
     group.trial.seen = lambda name, effect: (told.append((name, effect)), seen(name, effect))
-    core._handle_snapshot_chunk = lambda now, sender, word: []  # the snapshot is late
+    core._handle_snapshot_chunk = lambda now, sender, message: []  # the snapshot is late
     assert group.run(2000.0, lambda: core.leader != "")
-    number = group.offer(late, None)
-    assert group.run(2000.0, lambda: core._offers[number].need > 0)
+    number = group.propose(late, None)
+    assert group.run(2000.0, lambda: core._proposals[number].need > 0)
     del core._handle_snapshot_chunk
     assert group.run(2000.0, lambda: number in group.members[late].answers)
     assert any(name == late and isinstance(effect, SnapshotInstalled) for name, effect in told)
@@ -256,7 +256,7 @@
         group.run(20.0 * turn)
         group.cores[leader.name].resign(group.trial.now)
         led = group.led()
-        number = group.offer(led.name, None)
+        number = group.propose(led.name, None)
         assert group.run(5000.0, lambda led=led, number=number: number in group.members[led.name].answers)
         assert led.state_machine.values["config"].data.startswith(b"%d " % newest), (turn, led.name)
         assert group.run(
--- a/tests/record_leases.py
+++ b/tests/record_leases.py
@@ -29,10 +29,10 @@
                 self.believed[core.term] = core.earlier_leader_until + QUORUM_FRESH_MS
         self._look()
 
-    def offer(self, name: str) -> None:
+    def propose(self, name: str) -> None:
         """Seldom: who was cut off may then be elected though it has answered no leader for long."""
         if self.draw.random() < 0.02:
-            super().offer(name)
+            super().propose(name)
 
     def step(self) -> None:
         """A leader goes, or is cut off from one other, more often than anything else happens."""
--- a/tests/record_voters.py
+++ b/tests/record_voters.py
@@ -174,8 +174,8 @@
         seen(name, effect),
     )
     rounds = leader._round
-    numbers = [group.offer(leader.name, None) for _ in range(100)]
-    number = group.offer(leader.name, value(1))
+    numbers = [group.propose(leader.name, None) for _ in range(100)]
+    number = group.propose(leader.name, value(1))
     answers = group.members[leader.name].answers
     assert group.run(500.0, lambda: all(one in answers for one in [*numbers, number]))
     assert leader._round - rounds <= 6 and len(stores) == 3, (leader._round - rounds, len(stores))
@@ -210,9 +210,9 @@
 class Forgetful(RaftNode):
     """Acknowledges entries as a joining voter and drops them for what it has fetched."""
 
-    def _take_agreed(self, word):
+    def _take_agreed(self, message):
         del self.entries[max(0, self.commit + 1 - self.first) :]
-        return super()._take_agreed(word)
+        return super()._take_agreed(message)
 
 
 def shows_walks_in_which_voters_are_replaced_lose_nothing_and_end_in_agreement() -> None:
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -464,7 +464,7 @@
     def do(self, name: str, effects: list) -> None:
         for effect in effects:
             if isinstance(effect, Send):
-                self.words.append((name, effect.to, effect.word))
+                self.words.append((name, effect.to, effect.message))
             elif isinstance(effect, Persist):
                 self.do(name, self.all[name].stored(self.now, effect.number))
 
@@ -489,7 +489,7 @@
     third = next(name for name in "abc" if name not in (gone, leader.name))
     assert fleet.run(2000.0, lambda: fleet.all["d"].standing is Standing.VOTING)
     fleet.deaf = {third}
-    number, effects = leader.offer(fleet.now, put("k", b"v"))
+    number, effects = leader.propose(fleet.now, put("k", b"v"))
     fleet.do(leader.name, effects)
     assert fleet.run(2000.0, lambda: leader.state_machine.values.get("k") is not None), number
     fleet.deaf = set()
