--- a/sableford/intake/__init__.py
+++ b/sableford/intake/__init__.py
@@ -1,1 +1,1 @@
-"""What both hosts need at the door: settings into the core's terms, ids into indices."""
+"""Shared by both hosts: parsing of settings, and mapping of ids to indices."""
--- a/sableford/intake/charter.py
+++ b/sableford/intake/charter.py
@@ -1,6 +1,6 @@
-"""The settings that a scheduler is given at start, decoded once: the core's Terms, and what its host needs.
+"""Parses the settings of a scheduler into its configuration and what its host needs.
 
-One copy serves both hosts. It never keeps the text, and nothing in it says how anything is sent.
+Used by both hosts; independent of their protocols.
 """
 
 from math import isfinite
@@ -15,8 +15,7 @@
 
 
 class Charter(NamedTuple):
-    """What is read of the settings. Names stand in the order of their indices, those that went too; times are
-    milliseconds."""
+    """Parsed settings. Names are in index order and include removed ones; times are in ms."""
 
     terms: Terms
     schemes: tuple[str, ...]
@@ -25,7 +24,7 @@
     figures: tuple[str, ...]
     idle: float
     connect: float
-    taken: frozenset[str] = frozenset()  # the schemes that clients may name
+    taken: frozenset[str] = frozenset()  # names that clients may use
 
 
 class _Scheme(msgspec.Struct):
@@ -147,7 +146,7 @@
 
 
 def read_charter(text: bytes) -> Charter:
-    """Decode the settings; what is missing or bad is named in the error."""
+    """Parses the settings; raises ValueError that names a missing or invalid one."""
     try:
         profile = _decoder.decode(text)
     except msgspec.MsgspecError as error:
@@ -217,9 +216,9 @@
 
 
 def amended(now: Charter, new: Charter) -> Charter:
-    """The new settings with every scheme, zone and kind at the place it has had; dropped ones stay there.
+    """Returns the new settings with known schemes, zones and kinds at their indices; removed ones stay there.
 
-    How the list is had is fixed for a process's life.
+    The way in which the worker list is obtained can't change while the process runs.
     """
     schemes, zones, kinds = (_onto(now[at], new[at]) for at in (1, 2, 3))
 
--- a/sableford/intake/door.py
+++ b/sableford/intake/door.py
@@ -1,6 +1,6 @@
-"""The door of one scheduler: a host's ids become small indices, lists become changes.
+"""Maps a host's txn and worker ids to small indices, and worker lists to roster changes.
 
-One copy serves both hosts. It never looks into an id: whatever can be a key of a mapping will do.
+Used by both hosts; an id may be any hashable value.
 """
 
 from collections.abc import Hashable
@@ -9,12 +9,12 @@
 
 from sableford.model import Listed, Roster, Standing
 
-MARK = 0xFFFF  # of a mark, what is said of it in a message: some hundred workers are told apart
+MARK = 0xFFFF  # part of an id hash that messages carry: enough to distinguish some hundred workers
 _WORD = Struct("<HB")
 
 
 class Sheet:
-    """A numbered list as it came: per worker its facts (zone, kind, cell, health, start), and the ratings."""
+    """A received worker list: facts per worker (zone, kind, cell, health, start) and ratings."""
 
     def __init__(self, entries: list[tuple]) -> None:
         self.facts = {wid: (*facts, since) for wid, *facts, _, since in entries}
@@ -22,7 +22,7 @@
 
 
 class Door:
-    """Indices of one instance's txns and workers. A txn's is freed once it is over and nothing is out."""
+    """Indices of txns and workers. A txn's is freed once it is closed and nothing of it is in flight."""
 
     def __init__(self) -> None:
         self.txn_ids: list[Hashable] = []
@@ -36,7 +36,7 @@
         self._marks: dict[int, int] = {}
 
     def take(self, rid: Hashable) -> int:
-        """Give a new txn its index."""
+        """Assigns an index to a new txn."""
         if self._free:
             txn = self._free.pop()
             self.txn_ids[txn], self._out[txn], self._over[txn] = rid, 0, False
@@ -55,7 +55,7 @@
         self._out[txn] += 1
 
     def back(self, txn: int, closed: bool) -> None:
-        """One posting is over, and the txn too where `closed`."""
+        """A posting has ended, and its txn too if `closed`."""
         self._out[txn] -= 1
         self.over(txn, closed)
 
@@ -72,7 +72,7 @@
         return self._workers.get(wid)
 
     def index(self, wid: Hashable) -> int:
-        """The worker's index, listed or not."""
+        """Returns the worker's index, listed or not; assigns one if needed."""
         worker = self._workers.get(wid)
         if worker is None:
             worker = self._workers[wid] = len(self.worker_ids)
@@ -80,7 +80,7 @@
         return worker
 
     def roster(self, sheet: Sheet, complete: bool) -> Roster:
-        """What a sheet changes; most say nothing but new ratings, which are read where they are used."""
+        """Returns the changes of a list. Most change only ratings, which are looked up on use."""
         known = self._listed
         new = [(wid, fact) for wid, fact in sheet.facts.items() if known.get(wid) != fact]
         lines = [self._line(wid, fact, Standing(fact[3])) for wid, fact in new]
@@ -101,7 +101,7 @@
         return Listed(worker, zone, kind, cell, standing, since * 1000.0, mark)
 
     def word(self, worker: int, slots: float) -> bytes:
-        """What other schedulers are told of a worker; ids are too long to be said each time.
+        """Encodes a load message to other schedulers; it has a hash, as ids are too long.
 
         >>> door = Door(); _ = door.roster(Sheet([("w", 0, 0, 0, 1, 1.0, 0.0)]), True)
         >>> len(door.word(0, 2.0)), door.heard(door.word(0, 2.0)), door.heard(b"?"), door.heard(b"none")
@@ -110,7 +110,7 @@
         return _WORD.pack(crc32(str(self.worker_ids[worker]).encode()) & MARK, min(255, round(slots)))
 
     def heard(self, word: bytes) -> tuple[int, float] | None:
-        """The worker and the slots that another scheduler speaks of; none where it makes no sense here."""
+        """Decodes a load message into worker and slots; None if invalid or unknown here."""
         if len(word) != _WORD.size:
             return None
         mark, slots = _WORD.unpack(word)
--- a/sableford/legacy.py
+++ b/sableford/legacy.py
@@ -1,7 +1,6 @@
-"""What one module has learned, as plain figures by name, and those figures put into a new module.
+"""Exports what a scheduler has measured, and restores it into the scheduler of the next process.
 
-It owns their form and their bounds. It must never decide anything: what is inherited ages as if the new
-module had measured it itself.
+Restored measurements age like the scheduler's own.
 """
 
 from collections.abc import Callable
@@ -11,15 +10,35 @@
 from sableford.intake.charter import Charter
 from sableford.policy.scheduler import Scheduler
 
-MOST = 1e9  # of any sum: past it a figure makes no sense
-KIND = ("slots", "size", "held", "heard", "heard_at", "done", "due", "touched")
-RUN = ("spent", "done", "touched")
-WORKER = ("true_at", "done", "due", "pace", "touched", "faults", "sound", "judged")
-TIMES = ("heard_at", "touched", "true_at", "judged", "at")
+MAX_VALUE = 1e9  # limit of any value: larger ones are invalid
+# Attributes by their keys in the file, which older and newer builds read.
+KIND = {
+    "slots": "slots",
+    "size": "max_rating",
+    "held": "taken_sum",
+    "heard": "reports",
+    "heard_at": "reported_at",
+    "done": "done",
+    "due": "expected",
+    "touched": "updated_at",
+}
+RUN = {"spent": "spent", "done": "done", "touched": "updated_at"}
+WORKER = {
+    "true_at": "as_of",
+    "done": "done",
+    "due": "expected",
+    "pace": "pace",
+    "touched": "updated_at",
+    "faults": "errors",
+    "sound": "successes",
+    "judged": "health_at",
+}
+FLOW = {"sum": "sum", "at": "at"}
+TIMES = ("heard_at", "touched", "true_at", "judged", "at")  # keys of times, which can't lie in the future
 
 
 class Legacy(msgspec.Struct):
-    """By name: the figures of kinds, schemes, and workers with the start they were measured at."""
+    """Measurements by name: of kinds, schemes, and workers with their start times."""
 
     kinds: dict[str, dict[str, float]] = {}
     schemes: dict[str, dict[str, float]] = {}
@@ -28,11 +47,11 @@
 
 
 def left_by(core: Scheduler, names: list[str], charter: Charter) -> Legacy:
-    """What the module leaves; `names` are the workers' ids by index."""
+    """Exports the measurements; `names` are the workers' ids by index."""
     kinds = {charter.kinds[at]: _figures(kind, KIND) for at, kind in core.kinds.items()}
     schemes = {name: _figures(core.runs[at], RUN) for at, name in enumerate(charter.schemes)}
-    lanes = zip(charter.schemes, core.lanes[0], strict=False)
-    flows = {name: (lane.flow.sum, lane.flow.at) for name, lane in lanes}
+    queues = zip(charter.schemes, core.queues[0], strict=False)
+    flows = {name: (queue.flow.sum, queue.flow.at) for name, queue in queues}
     workers = {
         names[at]: _figures(worker, WORKER) | {"since": worker.since, "jobs": worker.others + worker.own}
         for at, worker in core.workers.items()
@@ -44,30 +63,30 @@
 def teach(
     core: Scheduler, legacy: Legacy, index: Callable[[str], int | None], charter: Charter, now: float
 ) -> None:
-    """Put it into a module that has its first list; what is unknown there or senseless is passed over."""
+    """Restores measurements into a scheduler that has its first list; skips unknown and invalid ones."""
     for at, kind in core.kinds.items():
         _put(kind, legacy.kinds.get(charter.kinds[at], {}), KIND, now)
     for at, name in enumerate(charter.schemes):
         _put(core.runs[at], legacy.schemes.get(name, {}), RUN, now)
         flow, flow_at = legacy.flows.get(name, (0.0, 0.0))
-        _put(core.lanes[0][at].flow, {"sum": flow, "at": flow_at}, ("sum", "at"), now)
+        _put(core.queues[0][at].flow, {"sum": flow, "at": flow_at}, FLOW, now)
     for name, figures in legacy.workers.items():
         known = index(name)
-        if known is None or (line := core.listed.get(known)) is None or figures.get("since") != line.since:
+        if known is None or (entry := core.listed.get(known)) is None or figures.get("since") != entry.since:
             continue
-        worker = core.workers.get(known) or core._meet(line)
-        if _put(worker, figures, WORKER, now) and 0.0 <= figures.get("jobs", -1.0) < MOST:
-            worker.others = figures["jobs"]  # the old process's own are another's now
+        worker = core.workers.get(known) or core._add_worker(entry)
+        if _put(worker, figures, WORKER, now) and 0.0 <= figures.get("jobs", -1.0) < MAX_VALUE:
+            worker.others = figures["jobs"]  # the old process's own postings count as another scheduler's
 
 
-def _figures(holder: object, names: tuple[str, ...]) -> dict[str, float]:
-    return {name: round(float(getattr(holder, name)), 3) for name in names}
+def _figures(holder: object, names: dict[str, str]) -> dict[str, float]:
+    return {key: round(float(getattr(holder, name)), 3) for key, name in names.items()}
 
 
-def _put(holder: object, figures: dict[str, float], names: tuple[str, ...], now: float) -> bool:
-    """All of them or none."""
-    if any(not 0.0 <= figures.get(name, -1.0) <= (now if name in TIMES else MOST) for name in names):
+def _put(holder: object, figures: dict[str, float], names: dict[str, str], now: float) -> bool:
+    """Sets all of them or, if one is invalid, none."""
+    if any(not 0.0 <= figures.get(key, -1.0) <= (now if key in TIMES else MAX_VALUE) for key in names):
         return False
-    for name in names:
-        setattr(holder, name, figures[name])
+    for key, name in names.items():
+        setattr(holder, name, figures[key])
     return True
--- a/sableford/model/__init__.py
+++ b/sableford/model/__init__.py
@@ -1,4 +1,4 @@
-"""The core's types: what comes in, what goes out, and what is read at start."""
+"""Types of the scheduler: events, effects and configuration."""
 
 from sableford.model.effects import CallOff, Decline, Effect, Follow, Post, Probe, Reverse, Tell, Wake
 from sableford.model.events import (
--- a/sableford/model/effects.py
+++ b/sableford/model/effects.py
@@ -1,10 +1,10 @@
-"""What the core asks for."""
+"""Effects that the scheduler returns, carried out by its host."""
 
 from typing import NamedTuple
 
 
 class Post(NamedTuple):
-    """Send the txn to the worker; the posting is given up at `until`."""
+    """Send the txn to the worker; the posting expires at `until`."""
 
     txn: int
     worker: int
@@ -12,39 +12,39 @@
 
 
 class CallOff(NamedTuple):
-    """Stop waiting for one posting."""
+    """Cancel one posting."""
 
     txn: int
     posting: int
 
 
 class Decline(NamedTuple):
-    """Final: trying again is harmless, best after `pause` (0: no advice)."""
+    """Final answer: rejected, safe to retry, preferably after `pause` (0: no advice)."""
 
     txn: int
     pause: float
 
 
 class Reverse(NamedTuple):
-    """Final: failed, with no word on whether it took effect."""
+    """Final answer: failed; it may or may not have taken effect."""
 
     txn: int
 
 
 class Wake(NamedTuple):
-    """Send Woken after this long."""
+    """Deliver a Woken event after this many ms."""
 
     after: float
 
 
 class Probe(NamedTuple):
-    """Ask one worker for its figures."""
+    """Request a load report from one worker."""
 
     worker: int
 
 
 class Tell(NamedTuple):
-    """Tell some other schedulers what this one has out at a worker now, in slots."""
+    """Send other schedulers this one's load at a worker, in slots."""
 
     peers: tuple[int, ...]
     worker: int
@@ -52,7 +52,7 @@
 
 
 class Follow(NamedTuple):
-    """Ask for the roster's changes from now on, or `once` those until now; what was missed first."""
+    """Subscribe to roster changes, or if `once` fetch those so far; missed changes come first."""
 
     once: bool
 
--- a/sableford/model/events.py
+++ b/sableford/model/events.py
@@ -1,4 +1,4 @@
-"""What the core is told. Times are milliseconds; txns and workers are small indices given at the door."""
+"""Events that the scheduler handles. Times are in ms; txns and workers are small indices."""
 
 from collections.abc import Callable
 from enum import IntEnum
@@ -18,15 +18,15 @@
     BROKEN = 5
     CALLED_OFF = 6
     NOT_SENT = 7
-    UNFIT = 8  # the worker says that the request itself is at fault
+    UNFIT = 8  # the worker rejects the request itself as invalid
 
 
-UNTOLD = (Ending.CALLED_OFF, Ending.TIMED_OUT)  # the worker has said nothing
+UNTOLD = (Ending.CALLED_OFF, Ending.TIMED_OUT)  # the worker sent no result
 NEVER_RAN = frozenset({Ending.FULL, Ending.NO_CONNECTION, Ending.NOT_SENT})
 
 
 class Standing(IntEnum):
-    """What the roster says of a worker."""
+    """State of a worker in the roster."""
 
     GONE = 0
     READY = 1
@@ -34,26 +34,26 @@
 
 
 class Taken(NamedTuple):
-    """A txn has come in; one final answer is owed from here on."""
+    """A txn has arrived; it must get exactly one final answer."""
 
     txn: int
     scheme: int
     account: int
     expiry: float
     slots: float
-    work: float = 0.0  # its running time on a standard core as hinted, 0 where it is not told
-    key: int = 0  # txns of one key need the same things at their worker, 0 where none is told
+    work: float = 0.0  # hinted running time on a standard core, 0 if not given
+    key: int = 0  # txns of one key share state at their worker, 0 if not given
 
 
 class Started(NamedTuple):
-    """A posting has begun to run."""
+    """A posting has started to run."""
 
     txn: int
     posting: int
 
 
 class Progressed(NamedTuple):
-    """A running posting moves; `share` of it is done."""
+    """Progress of a running posting; `share` of it is done."""
 
     txn: int
     posting: int
@@ -61,7 +61,7 @@
 
 
 class Ended(NamedTuple):
-    """A posting is over; `closed` when the txn has its final answer. `load` holds report figures or none."""
+    """A posting has ended; `closed` if its txn has its final answer. `load`: the load report, if any."""
 
     txn: int
     posting: int
@@ -71,17 +71,17 @@
 
 
 class Lapsed(NamedTuple):
-    """The client has left; nothing more is owed."""
+    """The client has disconnected; no answer is needed."""
 
     txn: int
 
 
 class Woken(NamedTuple):
-    """A wake-up asked for has come."""
+    """A requested wake-up is due."""
 
 
 class Sampled(NamedTuple):
-    """A probe is back."""
+    """The result of a probe."""
 
     worker: int
     answered: bool
@@ -89,7 +89,7 @@
 
 
 class Listed(NamedTuple):
-    """One worker's line in the roster; `since` is its last start, 0 for long ago."""
+    """A roster entry; `since` is the worker's last start, 0 for long ago."""
 
     worker: int
     zone: int
@@ -97,19 +97,19 @@
     cell: int
     standing: Standing
     since: float
-    mark: int = 0  # a number that all schedulers have for this worker
+    mark: int = 0  # hash of the worker's id, the same at all schedulers
 
 
 class Roster(NamedTuple):
-    """Lines that are new or changed; a worker left out of a complete list comes as GONE. `rating` tells what
-    the list now says of one worker's weight, 0 where nothing."""
+    """New or changed entries; a worker missing from a complete list is GONE. `rating` returns a worker's
+    current weight in the list, 0 if there is none."""
 
     lines: tuple[Listed, ...]
     rating: Callable[[int], float]
 
 
 class Heard(NamedTuple):
-    """Another scheduler says what it has out at a worker now, in slots."""
+    """Another scheduler's current load at a worker, in slots."""
 
     peer: int
     worker: int
@@ -117,33 +117,33 @@
 
 
 class Banned(NamedTuple):
-    """Operators took a worker out by hand at that time, or (`out` false) called it back, cold."""
+    """Operators took a worker out of service at that time, or (`out` false) returned it, cold."""
 
     worker: int
     out: bool
     at: float
 
     def over(self, told: "Listed") -> "Listed":
-        """What holds of a line of the roster under this."""
-        if not self.out:  # operators restarted it, whatever start the list knows of
+        """Returns the roster entry with this override applied."""
+        if not self.out:  # operators restarted it, whatever start is listed
             return told._replace(since=max(told.since, self.at))
         return told._replace(standing=Standing.DRAINING) if told.standing is Standing.READY else told
 
 
 class Amended(NamedTuple):
-    """Other terms from now on; each scheme that there was has its place still. What is open keeps its own."""
+    """A new configuration; known schemes keep their indices, and open txns their old configuration."""
 
     terms: Terms
 
 
 class Turns(NamedTuple):
-    """Whether this process takes its scheduler's turns at cold workers from now on, or another one does."""
+    """Whether this process, or another one of this scheduler, uses its turns at cold workers from now on."""
 
     ours: bool
 
 
 class Unfollowed(NamedTuple):
-    """The roster's changes were asked for in vain, or stopped coming."""
+    """A roster request failed, or the subscription ended."""
 
 
 Event = (
--- a/sableford/model/ring.py
+++ b/sableford/model/ring.py
@@ -1,4 +1,4 @@
-"""Who belongs to what by its number alone, so that all who know the same list agree without asking."""
+"""Consistent hashing and member selection: all that know the same list agree without messages."""
 
 from bisect import bisect, insort
 from collections.abc import Iterable, Iterator
@@ -6,7 +6,7 @@
 
 
 class Ring:
-    """Workers at points on a ring. Who comes or goes moves no other worker's keys."""
+    """Consistent-hash ring. Adding or removing a worker moves no other worker's keys."""
 
     def __init__(self) -> None:
         self._points: list[tuple[int, int]] = []
@@ -19,7 +19,7 @@
         self._points = [point for point in self._points if point[1] != worker]
 
     def after(self, point: int) -> Iterator[int]:
-        """Each worker once, from this point on.
+        """Yields each worker once, from this point on.
 
         >>> ring = Ring(); ring.place(1, [10, 30]); ring.place(2, [20])
         >>> list(ring.after(15)), list(ring.after(31))
@@ -34,7 +34,7 @@
 
 
 def party(number: int, members: int, size: int) -> tuple[int, ...]:
-    """So many of the members, drawn by a number.
+    """Selects `size` of the members by a number.
 
     >>> party(7, 4, 3), party(7, 4, 9)
     ((3, 2, 1), (3, 2, 1, 0))
--- a/sableford/model/tally.py
+++ b/sableford/model/tally.py
@@ -1,10 +1,10 @@
-"""What is measured over time: a decaying sum, and what a tenant has left of its allowance."""
+"""Rates over time: an exponentially decaying sum and a token bucket."""
 
 from math import exp
 
 
 class Tally:
-    """A decaying sum, brought up to date when it is read."""
+    """An exponentially decaying sum, updated on read."""
 
     __slots__ = ("at", "memory", "sum")
 
@@ -20,7 +20,7 @@
 
 
 class Allowance:
-    """What may be sent at a rate a second, and how much of it is saved up."""
+    """A token bucket: `rate` per second, at most `most` saved up."""
 
     __slots__ = ("at", "most", "rate", "saved")
 
@@ -28,7 +28,7 @@
         self.rate, self.most, self.at, self.saved = rate, most, now, saved
 
     def takes(self, now: float) -> bool:
-        """Whether one more is within it; then it counts."""
+        """Takes one token if there is one; returns whether there was."""
         spare = min(self.most, self.saved + (now - self.at) * self.rate / 1000.0)
         self.at, self.saved = now, spare - (spare >= 1.0)
         return spare >= 1.0
--- a/sableford/model/terms.py
+++ b/sableford/model/terms.py
@@ -1,11 +1,11 @@
-"""What is read once at start, in trade terms."""
+"""Configuration of the scheduler, independent of the settings format."""
 
 from enum import IntEnum
 from typing import NamedTuple
 
 
 class Repeats(IntEnum):
-    """What a scheme allows once a posting may have run."""
+    """Whether a scheme's txn may be repeated once a posting may have run."""
 
     REPEATABLE = 0
     REFERENCED = 1
@@ -13,14 +13,14 @@
 
 
 class Again(IntEnum):
-    """Where a txn may go once more."""
+    """Where a txn may be retried."""
 
     ANYWHERE = 0
     IN_GROUP = 1
     NOWHERE = 2
 
 
-# (scheme's repeats, may an earlier posting have run) -> where it may go again, may it be declined
+# (scheme's repeats, whether an earlier posting may have run) -> (where to retry, whether to decline)
 PERMITS = {
     (Repeats.REPEATABLE, False): (Again.ANYWHERE, True),
     (Repeats.REPEATABLE, True): (Again.ANYWHERE, True),
@@ -32,7 +32,7 @@
 
 
 class Scope(IntEnum):
-    """Which workers drop a referenced txn's repeats."""
+    """Workers among which repeats of a referenced txn are deduplicated."""
 
     ALL = 0
     ZONE = 1
@@ -40,7 +40,7 @@
 
 
 class Scheme(NamedTuple):
-    """One scheme: `sla` plus `stretch` times the own running time is the SLA time."""
+    """A scheme; the SLA time is `sla` plus `stretch` times the txn's own running time."""
 
     repeats: Repeats
     scope: Scope
@@ -49,39 +49,39 @@
     stretch: float
     expiry: float
     earnings: float
-    tardy: float = 0.0  # the part of the earnings that an answer past the SLA time gets
-    kind: int = -1  # of worker, the only one that can run it; -1 for any
+    tardy: float = 0.0  # fraction of the earnings for a result past the SLA time
+    kind: int = -1  # the only worker kind that can run it; -1 for any
 
 
 class Account(NamedTuple):
-    """A tenant and the txns a second it may send, over all schedulers."""
+    """A tenant's rate limit, in txns per second over all schedulers."""
 
     allowance: float
 
 
 class Duties(NamedTuple):
-    """The figures of the four rules."""
+    """Parameters of the obligations towards workers: slow start, removal and full replies."""
 
     cold_share: float
     warm_within: float
     push_factor: float
     push_span: float
-    soft: bool = False  # only draining binds: 'gone' is hearsay
-    full_may_have_run: bool = False  # workers shed work that they had begun: 'full' is no proof
-    start_drift: float = 0.0  # ms that a listed start may be off either way: the true one counts
+    soft: bool = False  # only DRAINING is binding; a missing entry is unconfirmed
+    full_may_have_run: bool = False  # workers shed begun work: 'full' does not prove that it never ran
+    start_drift: float = 0.0  # ms by which a listed start may be off either way; the true one is binding
 
     def is_cold(self, age: float) -> bool:
-        """Whether a worker listed as started so long ago may be cold, or was within a span."""
+        """Whether a worker of this listed age may be cold, or was within the last span."""
         return age < self.start_drift + self.warm_within + self.push_span
 
     def bears(self, age: float) -> float:
-        """The part of its capacity that a worker has at least."""
+        """Least fraction of its capacity that a worker has at this age."""
         part = max(0.0, age - self.start_drift) / self.warm_within
         return min(1.0, self.cold_share + (1.0 - self.cold_share) * part)
 
     def borne(self, age: float) -> float:
-        """The sum of that part over its life, ms at full capacity; it may have started at any time that the
-        list allows, and counts as cold till the latest."""
+        """Integral of that fraction up to this age, in ms at full capacity. The worker may have started at
+        any time within the drift, and counts as cold from the latest."""
         late = max(0.0, age - self.start_drift)
         ramp = min(late, self.warm_within)
         flat = max(0.0, min(age + self.start_drift, 2.0 * self.start_drift))
@@ -90,7 +90,7 @@
 
 
 class Tariff(NamedTuple):
-    """What is allowed and what it costs."""
+    """Protocol limits and prices."""
 
     postings: int
     call_off: bool
@@ -101,9 +101,9 @@
 
 
 class Terms(NamedTuple):
-    """Everything the core knows at start. The last four say which report figure stands where, -1 for none;
-    `live` that a worker's rating falls with what it holds, `follows` that the roster must be asked for;
-    `ask_within`: that it is a service all schedulers share, to be asked that often, 0 where it is not."""
+    """Scheduler configuration. `waiting`, `handled`, `free_slots`: columns of the load report, -1 for none;
+    `live_ratings`: a worker's rating falls with its load; `subscribes`: roster changes must be requested;
+    `ask_within`: interval of requests to a roster service that all schedulers share, 0 where it is none."""
 
     schedulers: int
     position: int
@@ -121,5 +121,5 @@
     handled: int
     free_slots: int
     tells: bool = False  # schedulers may send each other messages
-    punctual: bool = False  # misses of the SLA time cost the others' earnings; declines before it do not
-    by_work: bool = False  # earnings count for each unit of work, not for each txn
+    punctual: bool = False  # SLA misses reduce the earnings of the others; earlier declines do not
+    by_work: bool = False  # earnings are per unit of work, not per txn
--- a/sableford/net/desk.py
+++ b/sableford/net/desk.py
@@ -184,20 +184,20 @@
                 posted=out[name],
                 own=worker.own,
                 others=round(worker.others, 1),
-                age=round(self._now - worker.true_at) if worker.others >= 0.0 else None,
+                age=round(self._now - worker.as_of) if worker.others >= 0.0 else None,
                 slots=worker.kind.slots,
                 pace=round(worker.pace, 2),
                 kind_pace=round(worker.kind.pace(), 2),
-                faults=round(worker.faults, 1),
-                sound=round(worker.sound, 1),
+                faults=round(worker.errors, 1),
+                sound=round(worker.successes, 1),
                 out=[
                     word
                     for word, so in (
-                        ("still", worker.still),
-                        ("doubted", worker.doubted),
-                        ("waits", worker.waits),
+                        ("still", worker.stalled),
+                        ("doubted", worker.suspect),
+                        ("waits", worker.has_queue),
                         ("unready", not worker.ready),
-                        ("undrawn", not worker.drawn),
+                        ("undrawn", not worker.in_subset),
                     )
                     if so
                 ],
--- a/sableford/policy/__init__.py
+++ b/sableford/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the data plane, by concern; both programs use them."""
+"""Scheduling decisions of the data plane, one module per concern."""
--- a/sableford/policy/bound.py
+++ b/sableford/policy/bound.py
@@ -1,42 +1,40 @@
-"""The mechanism both programs share: a rotation names a candidate, which takes the work while its estimate is
-within the local bound D - D_j of the lowest; else the lowest takes it, ties by chance. Copies that break
-the bound are to be refreshed ("Adaptive Load Balancing based on Consistency", Eq. 5 and 9;
-`docs/design.md`)."""
+"""Local bound on load estimates, shared by scheduler and store. Round robin proposes a candidate, accepted
+while its estimate exceeds the lowest by at most D - D_j; else a lowest one is taken at random. Estimates that
+break the bound are refreshed ("Adaptive Load Balancing based on Consistency", Eq. 5, 9; `docs/design.md`)."""
 
 from collections.abc import Callable, Iterator, Sequence
 from typing import TypeVar
 from zlib import crc32
 
-IMBALANCE = 1.5  # jobs, D: a slot is lost or a wait begun when two workers differ by more than about this
-UNCERTAINTY = 1.0  # jobs, each D_j: what others send between two reports of one worker
-AGE_LIMIT = 1000.0  # ms: older copies break the bound; about the run of one txn
-MIX = 2_654_435_761  # spreads a checksum's bits: the golden part of 2**32
+IMBALANCE = 1.5  # jobs, D: two workers that differ by more leave a slot idle or make a job wait
+UNCERTAINTY = 1.0  # jobs, each D_j: sent by other schedulers between two reports of one worker
+AGE_LIMIT = 1000.0  # ms: older estimates break the bound; about the running time of one txn
+GOLDEN = 2_654_435_761  # 2**32 divided by the golden ratio: spreads the bits of a checksum
 
 T = TypeVar("T")
 
 
 def point(name: bytes) -> int:
-    """A place from 0 to 2**32 by a name: checksums of like names are alike, and unmixed most schedulers drew
-    the same half of the workers."""
-    return crc32(name) * MIX % 2**32
+    """Hashes a name to [0, 2**32). Plain checksums of similar names are similar: without the multiplication
+    most schedulers picked the same half of the workers."""
+    return crc32(name) * GOLDEN % 2**32
 
 
 def within(
-    indices: Sequence[tuple[float, T]], index: float, named: T, bound: float, chance: Callable[[int], int]
+    loads: Sequence[tuple[float, T]], load: float, candidate: T, bound: float, randint: Callable[[int], int]
 ) -> T:
-    """The candidate `named`, of load `index`, while that is within the bound of the lowest; else a lowest
-    one."""
-    lowest = min(load for load, _ in indices)
-    if index - lowest <= bound:
-        return named
-    least = [one for load, one in indices if load - lowest < 1e-9]
-    return least[chance(len(least))]
+    """Returns `candidate`, of that `load`, if it is within the bound of the lowest, else a lowest one."""
+    lowest = min(load for load, _ in loads)
+    if load - lowest <= bound:
+        return candidate
+    least = [item for load, item in loads if load - lowest < 1e-9]
+    return least[randint(len(least))]
 
 
 def breaks(
-    indices: Sequence[tuple[float, T]], below: float, aged: Callable[[T], bool]
+    loads: Sequence[tuple[float, T]], below: float, is_old: Callable[[T], bool]
 ) -> Iterator[tuple[float, T]]:
-    """The copies that break the bound: far below the candidate, or too old."""
-    for index, one in indices:
-        if index < below or aged(one):
-            yield index, one
+    """Yields the estimates that break the bound: far below the candidate, or too old."""
+    for load, item in loads:
+        if load < below or is_old(item):
+            yield load, item
--- a/sableford/policy/ledger.py
+++ b/sableford/policy/ledger.py
@@ -1,4 +1,4 @@
-"""What one scheduler holds, and the life of a txn: waiting, given up, answered."""
+"""State of one scheduler, and the life cycle of a txn: held, given up, answered."""
 
 from bisect import insort
 from heapq import heappop, heappush
@@ -8,164 +8,164 @@
 from sableford.model.effects import CallOff, Decline, Effect, Reverse
 from sableford.model.events import Event, Listed
 from sableford.model.ring import Ring
-from sableford.model.state import Input, Kind, Lane, Rank, Run, State, Txn, Worker
+from sableford.model.state import Input, Kind, Rank, Run, State, Txn, TxnQueue, Worker
 from sableford.model.tally import Allowance, Tally
 from sableford.model.terms import PERMITS, Again
 from sableford.policy.bound import point
 
-TAKERS = 8  # schedulers that send to a cold worker, told of it; with more most turns came where no txn was
-KEY_MEMORY = 20_000.0  # ms: decay of the counts of keys; some hundred txns of a small scheduler
-LOOKS = 8  # looks at homes for one event: each held or stuck txn asked anew took ten times the CPU there is
-RUN_PRIOR = 0.125  # of the expiry: a txn's run before any was seen; clients wait many runs long
-RUN_WEIGHT = 3.0  # txns that the prior counts for
+SENDERS = 8  # notified schedulers that send to a cold worker; with more, most turns met no txn
+KEY_MEMORY = 20_000.0  # ms: decay of key counts; some hundred txns of a small scheduler
+MAX_CHOICES = 8  # worker choices among homes per event: without a limit they took ten times the CPU there is
+RUN_PRIOR = 0.125  # of the expiry: assumed running time before any is measured; clients wait for many runs
+RUN_WEIGHT = 3.0  # txns that the assumed running time counts for
 MOVE_MEMORY = 4000.0  # ms: decay of the count of moves
-ADMITTED = 0.6  # of its patience a txn may have to wait by the flow, else it is turned away on arrival
-TOKENS = 2.0  # txns a tenant may save up beside one second of its allowance: whole txns come unevenly
-LAST_CALL = 150.0  # ms before expiry: nothing is posted or held past this; over one patrol, so none slips by
+MAX_WAIT_PART = 0.6  # of the time a txn may be held: with a longer expected wait it is declined on arrival
+BURST = 2.0  # burst in txns on top of one second's allowance: whole txns come unevenly
+EXPIRY_MARGIN = 150.0  # ms before expiry: nothing is sent or held after it; more than POLL, so none is missed
 
 
 class Ledger:
-    life: ClassVar[dict] = {}  # (state, input): next state, act
+    transitions: ClassVar[dict] = {}  # (state, input): next state, action
 
     def __init__(self, terms: Terms, seed: int) -> None:
         self.terms, self.seed, self.draws = terms, seed, 0
-        self.effects, self.looks = list[Effect](), LOOKS
+        self.effects, self.choices_left = list[Effect](), MAX_CHOICES
         self.txns: dict[int, Txn] = {}
-        self.listed: dict[int, Listed] = {}  # what holds: the roster under the bans
-        self.roster: dict[int, Listed] = {}  # its own lines
-        self.bans: dict[int, Banned] = {}  # the last word by hand on each worker
-        self.open: list[int] = []  # ready by the roster, and warm
-        self.near: list[int] = []  # and of the own zone
-        self.workers: dict[int, Worker] = {}  # drawn or sent to
-        self.drawn: list[Worker] = []
-        self.active: dict[int, Worker] = {}  # with own postings out
-        self.cold: dict[int, float] = {}  # ready, by their start
+        self.listed: dict[int, Listed] = {}  # the roster with overrides applied
+        self.roster: dict[int, Listed] = {}  # as received
+        self.bans: dict[int, Banned] = {}  # the operators' last override of each worker
+        self.warm: list[int] = []  # ready and warm
+        self.warm_local: list[int] = []  # ready, warm and in the own zone
+        self.workers: dict[int, Worker] = {}  # in the subset or sent to
+        self.subset: list[Worker] = []
+        self.active: dict[int, Worker] = {}  # with own postings in flight
+        self.cold: dict[int, float] = {}  # ready and cold: start times
         self.warming: list[tuple[float, int]] = []
-        self.turns: list[Worker] = []
-        self.out, self.unstarted, self.turns_at, self.exchange_at, self.outdated = 0.0, 0, 0.0, 0.0, 0.0
-        self.chosen: Worker | None = None
-        self.turn, self.drift, self.mean_run = -1, 1.0, 1.0
+        self.turn_workers: list[Worker] = []
+        self.in_use, self.unstarted, self.turns_at, self.rotate_at, self.expired_at = 0.0, 0, 0.0, 0.0, 0.0
+        self.selected: Worker | None = None
+        self.rotation, self.decay_time, self.mean_run = -1, 1.0, 1.0
         self.kinds: dict[int, Kind] = {}
         self.runs = [Run(scheme.expiry * RUN_PRIOR, RUN_WEIGHT) for scheme in terms.schemes]
-        self.lanes = [[Lane(at, rank, run) for at, run in enumerate(self.runs)] for rank in Rank]
-        self.ring = Ring()  # listed workers by key
-        self.size = 0.0  # a usual rating
-        self.keys: dict[int, Tally] = {}
-        self.asked = Tally(KEY_MEMORY)  # txns with keys
-        self.held, self.crowd = 0, 1.0  # txns held; schedulers to a worker
-        self.parties: dict[tuple[int, int], tuple[int, ...]] = {}
-        self.ours, self.turns_from = True, 0.0  # the turns at cold workers, and since when
-        self.born, self.follow_at, self.looked_at, self.refused = -1.0, 0.0, 0.0, 0
-        self.limits: list[tuple[float, int]] = []
-        self.doubted: dict[int, Worker] = {}
-        self._allot(0.0)
-        self.tells = False
-        self._speaks()
-        self.wake_at, self.moves, self.landed = 0.0, Tally(MOVE_MEMORY), Tally(MOVE_MEMORY)
+        self.queues = [[TxnQueue(at, rank, run) for at, run in enumerate(self.runs)] for rank in Rank]
+        self.ring = Ring()  # consistent hashing of keys
+        self.base_rating = 0.0  # the rating that gets the usual ring points
+        self.key_counts: dict[int, Tally] = {}
+        self.keyed = Tally(KEY_MEMORY)  # txns with keys
+        self.held, self.crowding = 0, 1.0  # txns held; schedulers per worker
+        self.watchers: dict[tuple[int, int], tuple[int, ...]] = {}
+        self.takes_turns, self.turns_from = True, 0.0  # whether this process uses the turns, and since when
+        self.started_at, self.fetch_at, self.peer_dispatch_at, self.fetch_failures = -1.0, 0.0, 0.0, 0
+        self.deadlines: list[tuple[float, int]] = []
+        self.suspects: dict[int, Worker] = {}
+        self._set_shares(0.0)
+        self.notifies = False
+        self._update_peer_mode()
+        self.wake_at, self.moves, self.good_moves = 0.0, Tally(MOVE_MEMORY), Tally(MOVE_MEMORY)
         named = {sort: f"_{sort.__name__.lower()}" for sort in get_args(Event)}
         self.handlers = {sort: getattr(self, name) for sort, name in named.items()}
 
-    def _speaks(self) -> bool:
-        """Whether schedulers tell each other what they have out; true where that has changed."""
-        # A key's homes are sent to by all alike: the few told of each were seldom the next to send there.
-        before, self.tells = self.tells, self.terms.tells and not self.keys
-        # Where no figure counts the waiting line, own postings in it hid the others' running ones.
-        self.line_shown = self.terms.waiting >= 0 or self.terms.handled >= 0 or not self.terms.tells_start
-        # Of the schedulers that may send to one cold worker.
-        self.takers = min(TAKERS, self.terms.schedulers) if self.tells else self.terms.schedulers
-        # Kept, what was told before a time without words was counted on for ever.
-        for worker in self.workers.values() if self.tells != before else ():
-            worker.hush(self.line_shown)
-        return self.tells != before
-
-    def _chance(self, ends: int) -> int:
+    def _update_peer_mode(self) -> bool:
+        """Updates whether schedulers notify each other of their load; returns whether that changed."""
+        # All schedulers send to a key's homes: the few notified were seldom the next to send there.
+        before, self.notifies = self.notifies, self.terms.tells and not self.key_counts
+        # Where reports leave out queued postings, own ones in the queue hid others' running ones.
+        self.queue_reported = self.terms.waiting >= 0 or self.terms.handled >= 0 or not self.terms.tells_start
+        # How many schedulers may send to one cold worker.
+        self.senders = min(SENDERS, self.terms.schedulers) if self.notifies else self.terms.schedulers
+        # Peer loads from before a time without notifications would never be updated.
+        for worker in self.workers.values() if self.notifies != before else ():
+            worker.clear_peer_loads(self.queue_reported)
+        return self.notifies != before
+
+    def _randint(self, ends: int) -> int:
         self.draws += 1
-        # Checksums of like seeds are alike: unmixed, most schedulers drew the same half of the workers.
+        # Checksums of similar seeds are similar: unmixed, most schedulers drew the same half of the workers.
         return point(b"%d:%d" % (self.seed, self.draws)) * ends >> 32
 
     def _step(self, now: float, index: int, happened: Input | None) -> None:
         txn = self.txns[index]
-        while happened is not None and (txn.state, happened) in self.life:
-            txn.state, act = self.life[txn.state, happened]
+        while happened is not None and (txn.state, happened) in self.transitions:
+            txn.state, act = self.transitions[txn.state, happened]
             happened = act(self, now, index, txn)
-        if txn.state is State.OVER and not txn.out:
+        if txn.state is State.CLOSED and not txn.in_flight:
             self.txns.pop(index, None)
 
-    def _answer(self, now: float, index: int, txn: Txn) -> None:
-        """Given up: the answer goes out at once."""
+    def _give_up(self, now: float, index: int, txn: Txn) -> None:
+        """Answers a txn that is given up."""
         scheme = txn.scheme
         _, harmless = PERMITS[scheme.repeats, txn.origin is not None]
         if harmless or (scheme.repeats is Repeats.REFERENCED and scheme.scope is Scope.ALL):
-            pause = min(self.terms.tariff.pause, self._lane(txn).wait(now))
+            pause = min(self.terms.tariff.pause, self._queue(txn).wait(now))
             self.effects.append(Decline(index, pause))
         else:
             self.effects.append(Reverse(index))
 
-    def _again(self, now: float, index: int, txn: Txn) -> Input | None:
-        """A posting came back without an answer: hold it for another, or give it up."""
+    def _retry(self, now: float, index: int, txn: Txn) -> Input | None:
+        """After a posting without a result: holds the txn for a retry, or gives it up."""
         where, _ = PERMITS[txn.scheme.repeats, txn.origin is not None]
         if where is Again.NOWHERE or now >= txn.limit or txn.posted >= txn.postings:
             return Input.LATE
-        self._hold(index, txn)
+        self._enqueue(index, txn)
         return None
 
     def _call_off(self, now: float, index: int, txn: Txn) -> None:
         txn.moved = True
-        for number, posting in txn.out.items():
+        for number, posting in txn.in_flight.items():
             if self.terms.tariff.call_off and not posting.called_off:
                 posting.called_off = True
                 txn.avoid = posting.worker
                 self.effects.append(CallOff(index, number))
 
     def _abandon(self, now: float, index: int, txn: Txn) -> None:
-        """What waits in some line past all hope: called off, so that what comes behind it is in time."""
+        """Calls off a posting queued too long, so that those behind it are in time, and answers."""
         self._call_off(now, index, txn)
-        self._answer(now, index, txn)
-
-    def _tardy(self, now: float, txn: Txn) -> bool:
-        """Whether it is worth an answer past its SLA time, and may come to one: then it goes on waiting."""
-        # Given up at the SLA time, txns worth a third still were declined while workers came free.
-        left = txn.taken.expiry - LAST_CALL - now
-        lane = self.lanes[Rank.TARDY][txn.taken.scheme]
-        if not txn.scheme.tardy or txn.rank is Rank.TARDY or lane.wait(now) > ADMITTED * left:
+        self._give_up(now, index, txn)
+
+    def _hold_tardy(self, now: float, txn: Txn) -> bool:
+        """Goes on holding a txn past its SLA time if a late result earns something and is likely."""
+        # Given up at the SLA time, txns still worth a third were declined while workers became free.
+        remaining = txn.taken.expiry - EXPIRY_MARGIN - now
+        queue = self.queues[Rank.TARDY][txn.taken.scheme]
+        if not txn.scheme.tardy or txn.rank is Rank.TARDY or queue.wait(now) > MAX_WAIT_PART * remaining:
             return False
-        txn.rank, txn.limit = Rank.TARDY, now + left
+        txn.rank, txn.limit = Rank.TARDY, now + remaining
         return True
 
-    def _allot(self, now: float) -> None:
-        """Each tenant's part here of what it may send."""
-        # A part below one txn a second found the first txn of each scheduler beyond the share.
+    def _set_shares(self, now: float) -> None:
+        """Divides each tenant's allowance by the number of schedulers."""
+        # The burst starts full: with a rate below 1/s the first txn of each scheduler exceeded the share.
         rates = [account.allowance / self.terms.schedulers for account in self.terms.accounts]
-        self.shares = [Allowance(now, rate, TOKENS + rate, TOKENS + rate) for rate in rates]
+        self.shares = [Allowance(now, rate, BURST + rate, BURST + rate) for rate in rates]
 
     def _beyond_share(self, now: float, account: int) -> bool:
-        """Whether the tenant sends more than this scheduler's part of its allowance."""
+        """Whether the tenant exceeds this scheduler's share of its allowance."""
         limited = account < len(self.shares) and self.shares[account].rate
         return bool(limited) and not self.shares[account].takes(now)
 
-    def _hold(self, index: int, txn: Txn) -> None:
-        insort(self._lane(txn).queue, (txn.limit, index))
+    def _enqueue(self, index: int, txn: Txn) -> None:
+        insort(self._queue(txn).entries, (txn.limit, index))
         self.held += 1
-        heappush(self.limits, (txn.limit, index))
+        heappush(self.deadlines, (txn.limit, index))
 
-    def _let_go(self, index: int, txn: Txn) -> None:
-        self._lane(txn).queue.remove((txn.limit, index))
+    def _dequeue(self, index: int, txn: Txn) -> None:
+        self._queue(txn).entries.remove((txn.limit, index))
         self.held -= 1
 
     def _expire(self, now: float) -> None:
-        """Give up what is held past its limit; a short expiry was forgotten behind a head with a long one."""
-        while self.limits and self.limits[0][0] < now:
-            _, index = heappop(self.limits)
+        """Gives up txns held past their limit, also those queued behind one with a longer expiry."""
+        while self.deadlines and self.deadlines[0][0] < now:
+            _, index = heappop(self.deadlines)
             txn = self.txns.get(index)
             if txn is not None and txn.state is State.HELD and txn.limit < now:
-                self._let_go(index, txn)
-                if self._tardy(now, txn):
-                    self._hold(index, txn)
+                self._dequeue(index, txn)
+                if self._hold_tardy(now, txn):
+                    self._enqueue(index, txn)
                 else:
                     self._step(now, index, Input.LATE)
 
-    def _lane(self, txn: Txn) -> Lane:
-        return self.lanes[txn.rank][txn.taken.scheme]
+    def _queue(self, txn: Txn) -> TxnQueue:
+        return self.queues[txn.rank][txn.taken.scheme]
 
     def _need(self, txn: Txn) -> float:
         return max(1.0, txn.taken.slots)
--- a/sableford/policy/postings.py
+++ b/sableford/policy/postings.py
@@ -1,174 +1,176 @@
-"""Txns coming in and going out, and looking after what is out."""
+"""Accepts txns, dispatches them, and supervises the postings in flight."""
 
 from sableford.model import Repeats, events
 from sableford.model.effects import Follow, Post, Probe
 from sableford.model.events import Taken
-from sableford.model.state import Input, Lane, Posting, Rank, State, Txn, Worker
+from sableford.model.state import Input, Posting, Rank, State, Txn, TxnQueue, Worker
 from sableford.policy.bound import AGE_LIMIT
 from sableford.policy.choice import Choice
-from sableford.policy.ledger import ADMITTED, LAST_CALL
+from sableford.policy.ledger import EXPIRY_MARGIN, MAX_WAIT_PART
 
-TRIAL = 500.0  # ms between two txns at a worker that gave no sign, where it can't be probed
-EXCESS = 1.0  # jobs more than its copy says, for each posting that met a line there
-MOVE_WEIGHT = 6.0  # moves taken for landed, so that one in vain is not yet a finding
-LANDING = 0.55  # of the moves must begin at once: with fewer all lines are full
-HUNG = 3.0  # mean runs without a start, where lines are known before a txn goes into one: its worker hangs
-STILL = 1.5  # progress gaps without news before a running posting counts as standing still
-STILL_SLACK = 300.0  # ms on top, for pauses and the way
-TYPICAL = 0.5  # of the mean run: the median of the heavy-tailed runs seen
-HOPE = 1.0  # mean runs: not begun by the SLA time of such a run, a txn is called off; most are late then
+TRIAL_GAP = 500.0  # ms between trial txns at a suspect, where probes are not allowed
+QUEUED_EXCESS = 1.0  # jobs added to a worker's estimate for each posting that was queued there
+MOVE_WEIGHT = 6.0  # successful moves assumed at first, so that one failure decides nothing
+SUCCESS = 0.55  # of the moves must start at once: fewer mean that all queues are full
+HUNG = 3.0  # mean runs without a start, where queues are known beforehand: the worker hangs
+STALL_GAPS = 1.5  # progress intervals without an update before a running posting counts as stalled
+STALL_SLACK = 300.0  # ms on top, for pauses and network delay
+MEDIAN_RUN = 0.5  # of the mean run: the median of the heavy-tailed runs measured
+LATE = 1.0  # mean runs: a txn not begun by the SLA time of such a run is called off; most are late then
 
 
 class Postings(Choice):
     def _taken(self, now: float, event: Taken) -> None:
         scheme = self.terms.schemes[event.scheme]
-        typical = event.work or TYPICAL * self.runs[event.scheme].mean()
-        patience = scheme.sla + max(0.0, scheme.stretch - 1.0) * typical
-        limit = min(now + patience, event.expiry - LAST_CALL)
+        typical = event.work or MEDIAN_RUN * self.runs[event.scheme].mean()
+        max_wait = scheme.sla + max(0.0, scheme.stretch - 1.0) * typical
+        limit = min(now + max_wait, event.expiry - EXPIRY_MARGIN)
         rank = Rank.BEYOND if self._beyond_share(now, event.account) else Rank.SHARE
         txn = self.txns[event.txn] = Txn(event, self.terms, limit, rank)
-        # Of others the clients come back at once, and where a call-off drops nothing each ran several times.
+        # Clients retry the others at once, and where a call-off stops nothing, each ran several times.
         if self.terms.tells_start and scheme.repeats is Repeats.ONCE_ONLY:
-            txn.hopeless = now + scheme.sla + max(0.0, scheme.stretch - 1.0) * HOPE * typical / TYPICAL
-        # Declined inside its SLA time it is no miss where misses are counted; begun later it is one.
+            txn.start_by = now + scheme.sla + max(0.0, scheme.stretch - 1.0) * LATE * typical / MEDIAN_RUN
+        # Where misses are counted, a decline within the SLA time is none; a later start is one.
         elif self.terms.punctual and scheme.repeats is Repeats.REPEATABLE:
-            txn.hopeless = limit
+            txn.start_by = limit
         if event.key:
             self._count_key(now, event.key)
-        ahead = self._lane(txn).wait(now)
-        if ahead > ADMITTED * patience and not self._tardy(now, txn):
+        wait = self._queue(txn).wait(now)
+        if wait > MAX_WAIT_PART * max_wait and not self._hold_tardy(now, txn):
             self._step(now, event.txn, Input.LATE)
         else:
-            self._hold(event.txn, txn)
-            self._pump(now)
+            self._enqueue(event.txn, txn)
+            self._dispatch(now)
 
-    def _pump(self, now: float) -> None:
-        """Post what is held while workers have room: first what earns most for the time it takes."""
+    def _dispatch(self, now: float) -> None:
+        """Sends held txns while workers have room, highest earnings per running time first."""
         self._expire(now)
         if not self.held:
             return
         full: set[tuple[Repeats, int, float, int]] = set()
-        for lane in sorted((lane for both in self.lanes for lane in both), key=self._earns, reverse=True):
+        for queue in sorted((queue for both in self.queues for queue in both), key=self._value, reverse=True):
             at = 0
-            while at < len(lane.queue) and self.looks > 0:
-                _, index = lane.queue[at]
+            while at < len(queue.entries) and self.choices_left > 0:
+                _, index = queue.entries[at]
                 txn = self.txns[index]
-                # Asked for each lane anew, full workers cost nine looks at the draw for each finish told.
-                like = (txn.scheme.repeats, txn.scheme.kind, self._need(txn), txn.taken.key)
-                worker = self._choose(now, txn) if like not in full else None
+                # Without this, full workers cost nine scans of the subset for each finish.
+                signature = (txn.scheme.repeats, txn.scheme.kind, self._need(txn), txn.taken.key)
+                worker = self._choose(now, txn) if signature not in full else None
                 if worker is None:
                     if not txn.posted:
-                        full.add(like)
-                    at = at + 1 if txn.taken.key else len(lane.queue)
+                        full.add(signature)
+                    at = at + 1 if txn.taken.key else len(queue.entries)
                     continue
-                lane.queue.pop(at)
+                queue.entries.pop(at)
                 self.held -= 1
-                self.chosen = worker
+                self.selected = worker
                 self._step(now, index, Input.ROOM)
 
-    def _earns(self, lane: Lane) -> float:
-        """Earnings for each running millisecond; less beyond a tenant's share and past the SLA time."""
-        scheme = self.terms.schemes[lane.scheme]
-        part = (1.0, self.terms.tariff.overage, scheme.tardy)[lane.rank]
-        return scheme.earnings * part / (1.0 if self.terms.by_work else lane.run.mean())
+    def _value(self, queue: TxnQueue) -> float:
+        """Earnings per running millisecond; less beyond a tenant's share and past the SLA time."""
+        scheme = self.terms.schemes[queue.scheme]
+        part = (1.0, self.terms.tariff.overage, scheme.tardy)[queue.rank]
+        return scheme.earnings * part / (1.0 if self.terms.by_work else queue.run.mean())
 
     def _post(self, now: float, index: int, txn: Txn) -> None:
-        worker, need = self.chosen, self._need(txn)
+        worker, need = self.selected, self._need(txn)
         posting = Posting(worker, txn.taken.scheme, need, now)
-        worker.postings[index, txn.posted] = txn.out[txn.posted] = posting
-        self.active[worker.index], worker.sent_at, worker.vouched = worker, now, False
-        self.unstarted, self.out = self.unstarted + 1, self.out + need
+        worker.postings[index, txn.posted] = txn.in_flight[txn.posted] = posting
+        self.active[worker.index], worker.sent_at, worker.probe_ok = worker, now, False
+        self.unstarted, self.in_use = self.unstarted + 1, self.in_use + need
         if txn.moved:
             self.moves.add(now)
         txn.posted += 1
         txn.origin = txn.origin or posting
         worker.own += need
-        self._tell(worker, now)
-        if self.line_shown:
-            worker.show(need, now)
+        self._notify(worker, now)
+        if self.queue_reported:
+            worker.change_known(need, now)
         if self._is_cold(worker.since, now):
             worker.sends.append((now, self._cost(txn)))
-            turn = max(worker.turn, self._turn(worker.index, worker.kind, worker.since, now, worker.turn))
-            # One that costs more than a mean txn pays with the own turns that come next.
+            turn = max(
+                worker.turn, self._next_turn(worker.index, worker.kind, worker.since, now, worker.turn)
+            )
+            # A txn that costs more than the mean uses up the following own turns.
             worker.debt = max(0.0, worker.debt + self._cost(txn) - 1.0)
-            worker.turn = turn + int(worker.debt) * self.takers
+            worker.turn = turn + int(worker.debt) * self.senders
             worker.debt %= 1.0
-        self._lane(txn).flow.add(now)
+        self._queue(txn).flow.add(now)
         self.effects.append(Post(index, worker.index, txn.taken.expiry))
 
     def _lapsed(self, now: float, event: events.Lapsed) -> None:
         txn = self.txns.get(event.txn)
         if txn is not None:
             if txn.state is State.HELD:
-                self._let_go(event.txn, txn)
+                self._dequeue(event.txn, txn)
             self._step(now, event.txn, Input.LAPSED)
 
-    def _look(self, worker: Worker, now: float) -> None:
-        """An own posting that has not begun within a round trip waits in line: that worker has no room."""
-        worker.waits = False
+    def _check_queue(self, worker: Worker, now: float) -> None:
+        """An own posting not begun within a round trip is queued: the worker has no room."""
+        worker.has_queue = False
         for posting in worker.postings.values() if self.terms.tells_start else ():
-            if posting.waited(now):
-                worker.waits = True
-                if not (posting.lined or self.tells or worker.index in self.cold):
-                    posting.lined = True
-                    worker.excess.add(now, EXCESS)
+            if posting.overdue(now):
+                worker.has_queue = True
+                if not (posting.queued or self.notifies or worker.index in self.cold):
+                    posting.queued = True
+                    worker.excess.add(now, QUEUED_EXCESS)
 
-    def _ask_doubted(self, now: float) -> None:
-        """A doubted worker's return is found by asking: by a probe, or where none is allowed by one txn."""
+    def _probe_suspects(self, now: float) -> None:
+        """Tests whether suspects are back: by a probe or, where not allowed, by one txn."""
         probes = self.terms.tariff.probes
-        for index, worker in list(self.doubted.items()):
-            if not worker.doubted or index not in self.listed:
-                worker.doubted = False
-                del self.doubted[index]
-            elif worker.ready and now - worker.probed >= (AGE_LIMIT if probes else TRIAL):
-                worker.probed, worker.vouched = now, worker.vouched or not probes
+        for index, worker in list(self.suspects.items()):
+            if not worker.suspect or index not in self.listed:
+                worker.suspect = False
+                del self.suspects[index]
+            elif worker.ready and now - worker.probed_at >= (AGE_LIMIT if probes else TRIAL_GAP):
+                worker.probed_at, worker.probe_ok = now, worker.probe_ok or not probes
                 if probes:
                     self.effects.append(Probe(index))
 
     def _woken(self, now: float, event: events.Woken) -> None:
-        if self.follow_at and now >= self.follow_at:
-            self.follow_at = 0.0
+        if self.fetch_at and now >= self.fetch_at:
+            self.fetch_at = 0.0
             self.effects.append(Follow(once=self.terms.ask_within > 0.0))
-        silence = self.terms.progress and self.terms.progress * STILL + STILL_SLACK
+        max_silence = self.terms.progress and self.terms.progress * STALL_GAPS + STALL_SLACK
         late: list[int] = []
-        for worker in self.active.values():  # measured all, the draw took two fifths of the CPU
+        for worker in self.active.values():  # active ones only: the whole subset took two fifths of the CPU
             worker.measure(now)
-            self._look(worker, now)
+            self._check_queue(worker, now)
             for (index, _), posting in worker.postings.items():
-                if posting.started and 0.0 < silence < now - posting.news and not posting.mute:
-                    # Counted on, what hangs made its worker, its kind and all runs look slow.
-                    posting.mute = True
+                if posting.started and 0.0 < max_silence < now - posting.seen_at and not posting.silent:
+                    # Counting a hung posting as running made its worker, kind and scheme look slow.
+                    posting.silent = True
                     worker.running[posting.scheme] -= 1
-                # Lines of txns too late to earn anything grew until nothing in them was in time.
-                elif not posting.started and now > self.txns[index].hopeless and not posting.called_off:
+                # Else queues of txns too late to earn anything grew until none was in time.
+                elif not posting.started and now > self.txns[index].start_by and not posting.called_off:
                     late.append(index)
-            # One answer lost on the way took its worker out until the expiry: news of others there clears it.
-            mute = any(posting.mute for posting in worker.postings.values())
-            worker.still = mute and now - worker.heard > silence
-        self._exchange(now)
-        self._ask_doubted(now)
+            # Updates of other postings there clear it: one lost answer excluded a worker until the expiry.
+            silent = any(posting.silent for posting in worker.postings.values())
+            worker.stalled = silent and now - worker.last_seen > max_silence
+        self._rotate(now)
+        self._probe_suspects(now)
         if self.terms.tariff.call_off:
             for index in late:
                 self._step(now, index, Input.LATE)
             for worker in list(self.active.values()):
-                self._move(worker, now)
-        self._pump(now)
+                self._move_postings(worker, now)
+        self._dispatch(now)
 
-    def _move(self, worker: Worker, now: float) -> None:
-        """Call off what stands in line or still there, where it may go again and another has room now."""
-        # Where a call-off drops nothing, moves from line to line made each txn run several times.
-        vain = self.landed.read(now) + MOVE_WEIGHT < LANDING * (self.moves.read(now) + MOVE_WEIGHT)
+    def _move_postings(self, worker: Worker, now: float) -> None:
+        """Calls off queued and stalled postings that may be retried where another worker has room."""
+        # Where a call-off stops nothing, moves between queues made each txn run several times.
+        futile = self.good_moves.read(now) + MOVE_WEIGHT < SUCCESS * (self.moves.read(now) + MOVE_WEIGHT)
         for (index, _), posting in list(worker.postings.items()):
             txn = self.txns[index]
             scheme = txn.scheme
-            # What stands in the line of one taken out by hand is lost at its restart, moves in vain or not.
+            # The queue of a worker that operators took out is lost at its restart, so it is always moved.
             stuck = worker.index in self.bans and self.bans[worker.index].out
-            idle = posting.mute if posting.started else stuck or (not vain and posting.waited(now))
-            # Where a call-off drops nothing, each txn moved out of a line ran twice, and lines grew by it.
-            idle = idle and (not self.tells or stuck or now - posting.news > HUNG * self.mean_run)
+            movable = posting.silent if posting.started else stuck or (not futile and posting.overdue(now))
+            # Where a call-off stops nothing, each txn moved out of a queue ran twice, and queues grew.
+            movable = movable and (not self.notifies or stuck or now - posting.seen_at > HUNG * self.mean_run)
             left = txn.postings - (not posting.started) - txn.posted
-            free = txn.state is State.OUT and not posting.called_off and left > 0 and now < txn.limit
-            if not (idle and free) or scheme.repeats is Repeats.ONCE_ONLY or self.looks <= 0:
+            retryable = txn.state is State.SENT and not posting.called_off and left > 0 and now < txn.limit
+            if not (movable and retryable) or scheme.repeats is Repeats.ONCE_ONLY or self.choices_left <= 0:
                 continue
             before, txn.avoid = txn.avoid, worker
             other = self._choose(now, txn)
--- a/sableford/simhost/__init__.py
+++ b/sableford/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: framing, names, units and instances. It decides nothing."""
+"""Simulator protocol: framing, ids, units and scheduler instances."""
--- a/sableford/simhost/__main__.py
+++ b/sableford/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m sableford.simhost`: hosts one core for each instance and speaks the wire on its pipes."""
+"""`python -m sableford.simhost`: runs one scheduler per instance over stdin and stdout."""
 
 import sys
 
@@ -34,12 +34,12 @@
 
 
 class Instance:
-    """One scheduler behind its door."""
+    """One scheduler and its index table."""
 
     def __init__(self, number: int, seed: int, text: bytes) -> None:
         self.number = number
         self.door = Door()
-        # On this wire what was asked for once goes on coming.
+        # In this protocol one request subscribes for good.
         self.core = Scheduler(read_charter(text).terms._replace(ask_within=0.0), seed)
 
     def tell(self, now: float, event: Event, reply: wire.Reply) -> None:
@@ -71,7 +71,7 @@
 
 
 class Host:
-    """All instances of this process; they share the numbered inventories and nothing else."""
+    """All instances of this process; they share only the numbered worker lists."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
@@ -87,7 +87,7 @@
         return reply.packed()
 
     def _one(self, frame: wire.Frame, at: int, now: float, reply: wire.Reply) -> int | None:
-        """Hand over one record; the instance's number where its decisions failed."""
+        """Handles one record; returns the instance's number if its scheduler failed."""
         body, code = frame.body, frame.body[at]
         if code == wire.INVENTORY:
             sheet, offset, count = wire.inventory(body, at + 1)
--- a/sableford/simhost/wire.py
+++ b/sableford/simhost/wire.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's wire, read and written whole."""
+"""Frames of the simulator protocol."""
 
 from struct import Struct
 from typing import BinaryIO
@@ -46,11 +46,11 @@
 
 
 class Malformed(Exception):
-    """The other side broke the wire."""
+    """The simulator violated the protocol."""
 
 
 class Frame:
-    """One batch: its clock, its records and their tail."""
+    """A batch of events: clock, fixed-size records, and a tail with variable-size data."""
 
     def __init__(self, count: int, clock: float, body: bytes) -> None:
         self.count, self.clock, self.body = count, clock, body
@@ -67,7 +67,7 @@
 
 
 def read_frame(source: BinaryIO) -> Frame | None:
-    """The next batch, or none where the input ends."""
+    """Returns the next batch, or None at the end of the input."""
     head = source.read(HEAD.size)
     if not head:
         return None
@@ -83,7 +83,7 @@
 
 
 class Reply:
-    """The actions of one reply."""
+    """Encodes the actions of one reply."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -3,7 +3,7 @@
 from heapq import heappop, heappush
 
 from sableford.model import Roster, Taken, Woken
-from sableford.policy.ledger import LOOKS
+from sableford.policy.ledger import MAX_CHOICES
 from tests.decision_scenes import START, Play
 
 MANY = 300
@@ -132,4 +132,4 @@
     homes = core._homes
     core._homes = lambda now, txn: asked.append(txn) or homes(now, txn)
     core.handle(START + 100.0, Woken())
-    assert 0 < len(asked) <= LOOKS, len(asked)
+    assert 0 < len(asked) <= MAX_CHOICES, len(asked)
