--- a/sableford/control/__init__.py
+++ b/sableford/control/__init__.py
@@ -1,4 +1,6 @@
-"""The control plane: who is a member and for how long,
-which duties are whose, which workers there are (all soft, under leases), and the operator's word (on a
-majority of disks).
+"""The control plane.
+
+Membership, shard ownership and the list of workers are soft state under leases, in the leader's memory. The
+operator's configuration, the roster of stores and the holder of each duty are replicated to a majority of
+disks.
 """
--- a/sableford/control/coordinator.py
+++ b/sableford/control/coordinator.py
@@ -1,12 +1,12 @@
-"""The leader's soft state: members under leases, whose each shard is, and the workers. No I/O.
+"""The leader's soft state: members under leases, which store owns each shard, and the workers. No I/O.
 
-Nothing of it is on disk: a new leader gathers it from those who join, and moves no shard before each store
-has joined, is proven to have ended, or could hold a lease of an earlier leader no longer.
+None of it is on disk: a new leader rebuilds it from the members that join, and moves no shard until each
+store has joined, is proven to have ended, or can no longer hold a lease of an earlier leader.
 
     input                        next state                           effects
-    joined, renewed              the member's lease runs from now     a snapshot; AddStore for a new store
-    expired, ended (proof)       no member; its shards are nobody's   an update with a view
-    acknowledged                 what it has applied                  WaitEnded; the next view
+    joined, renewed              the member's lease is extended       a snapshot; AddStore for a new store
+    lease expired, process ended not a member; its shards are unowned an update with a view
+    acknowledged                 the member's last applied update     WaitEnded; the next view
     worker's heartbeat, leave,   the worker's entry                   an update; WaitEnded once all stores
     silence                                                           have applied it
     configuration changed        the configuration in force           an update; WaitEnded once all members
@@ -37,20 +37,20 @@
 
 
 class Coordinator:
-    """Decides only while it `leads`. Names are inner hosts; times are ms of the leader's clock."""
+    """Acts only while it `leads`. Names are internal host addresses; times are ms of the leader's clock."""
 
     def __init__(self, heartbeat_ms: float, absent_ms: float = ABSENT_MS) -> None:
-        """`absent_ms`: how long a store may be away before the others do without it; the time in which it was
-        leaving counts."""
+        """`absent_ms`: how long a store may be absent, including the time it was leaving, before it may be
+        removed from the roster."""
         self.leads = False
-        # Whether a majority has answered of late, so that no other can have become the leader meanwhile.
+        # Whether a majority has answered recently, so that no other leader can have been elected meanwhile.
         self.majority_is_recent: Callable[[float], bool] = lambda now: True
-        # What a store that joins is to know of duties.
+        # The duty notices for a store that joins.
         self.duties_for: Callable[[str], list[DutyNotice] | None] = lambda name: None
         self.term = 0
         self.members: dict[str, Member] = {}
         self.roster: list[str] = []
-        self.retiring: set[str] = set()  # stores that are to be emptied, by an operator's order
+        self.retiring: set[str] = set()  # stores that an operator has ordered to be emptied
         self.retired: set[str] = set()
         self.view = View()
         self.registry = WorkerRegistry(heartbeat_ms, self._broadcast_worker_change)
@@ -59,21 +59,22 @@
         self._shards = ShardAssigner()
         self._start = LeadStart(0.0)
         self._view_flow = ViewFlow()
-        self._renewals_brought_news = False
+        self._status_changed = False
         self._waits = UpdateWaits()
         self._changing: set[str] = set()  # stores that are being added to the roster or removed
         self._departures = Departures(absent_ms)
-        self._zones: dict[str, str] = {}  # of stores that members have told of, also of those that are away
+        self._zones: dict[str, str] = {}  # by store, from the views of members; includes absent stores
 
     @property
     def workers(self) -> dict[str, Worker]:
         """The workers that are listed, by id."""
         return self.registry.table.entries
 
-    # Who leads
+    # Leadership
 
     def become_leader(self, now: float, term: int, earlier_leader_until: float | None = None) -> list[Effect]:
-        """`earlier_leader_until`: when a leader before this one could last grant on a majority's answer."""
+        """`earlier_leader_until`: when an earlier leader could last receive the answer of a majority, on
+        which it grants leases."""
         self.leads, self.term = True, term
         self._start = LeadStart(now, earlier_leader_until)
         self._view_flow = ViewFlow()
@@ -84,7 +85,7 @@
         return [LogEvent("core_leads", {"term": term})]
 
     def step_down(self) -> list[Effect]:
-        """Another process may lead from now on."""
+        """This process is no longer the leader; another one may be."""
         if not self.leads:
             return []
         self.leads = False
@@ -93,7 +94,7 @@
         return [*effects, LogEvent("core_leads_no_more", {"term": self.term})]
 
     def observe(self, view: View, workers: Iterable[Worker], now: float) -> None:
-        """What another leader has sent this process, in case it leads next."""
+        """Follows what another leader has sent, in case this process leads next."""
         if not self.leads:
             self.view = view
             self._departures.see(now, view, self.roster)
@@ -102,7 +103,7 @@
     def roster_changed(
         self, now: float, roster: list[str], retiring: Iterable[str] = (), retired: Iterable[str] = ()
     ) -> list[Effect]:
-        """The stores that stand in the roster."""
+        """Takes a new roster: its stores, those being emptied and those retired."""
         self.roster, self.retiring, self.retired = roster, set(retiring), set(retired)
         self._changing &= set(roster)
         if not self.leads:
@@ -114,7 +115,7 @@
         return effects + self._assign_shards(now)
 
     def _add_to_roster(self, name: str, member: Member) -> list[Effect]:
-        """A store that is a member and does not stand in the roster is to."""
+        """Asks for a store that is a member to be added to the roster, unless it is there already."""
         if member.role != "store" or member.registered or name in self._changing | self.retired:
             return []
         self._changing.add(name)
@@ -124,7 +125,7 @@
 
     def joined(self, now: float, name: str, request: JoinRequest) -> list[Effect]:
         """A process becomes a member."""
-        before = self.members.pop(name, None)  # what is sent meanwhile is in its snapshot
+        before = self.members.pop(name, None)  # its snapshot includes the updates sent below
         effects: list[Effect] = []
         if before is not None and before.incarnation != request.incarnation:
             effects.append(_member_gone(before, "another incarnation of it has come"))
@@ -151,7 +152,7 @@
             now + LEASE_MS,
             lease_is_unbroken=self._start.lease_is_unbroken(now, request.lease_left_ms),
             leaving=request.leaving,
-            # One that does not stand in the roster holds nothing that anyone counts on.
+            # No replica counts on a store outside the roster, so it can't be missing any.
             complete=request.complete or name not in self.roster,
             registered=name in self.roster,
             empty=request.empty,
@@ -172,26 +173,26 @@
         )
 
     def renewed(self, now: float, name: str, request: RenewRequest) -> bool:
-        """Whether it is a member still; else it must join again. True prolongs its lease from now on."""
+        """Extends the member's lease from now on. False if it is no member any more and must join again."""
         member = self.members.get(name)
         if member is None or member.incarnation != request.incarnation:
             return False
         if now > member.lease_until or not self.majority_is_recent(now):
             return False
         member.lease_until = now + LEASE_MS
-        self._renewals_brought_news |= member.update_status(request)
+        self._status_changed |= member.update_status(request)
         return True
 
     def after_renewals(self, now: float) -> list[Effect]:
-        """What follows from what members have said of themselves. Most say what they said before, so that a
-        renewal costs the same whatever the number of members."""
-        if not self._renewals_brought_news:
+        """Acts on status that has changed with renewals. Most renewals change nothing, and then their cost
+        must not depend on the number of members."""
+        if not self._status_changed:
             return []
-        self._renewals_brought_news = False
+        self._status_changed = False
         return self.tick(now)
 
     def process_ended(self, now: float, name: str) -> list[Effect]:
-        """Proof that the process of that name has ended: its port refuses."""
+        """The process of that name is proven to have ended: its port refuses connections."""
         if not self.leads:
             return []
         self._start.process_ended(name)
@@ -212,10 +213,10 @@
         return (self._assign_shards(now) if is_awaited else []) + self._end_waits(now)
 
     def tick(self, now: float) -> list[Effect]:
-        """What time brings: leases and workers that run out, waits that are over."""
+        """Expires leases, workers and waits."""
         if not self.leads:
             return []
-        if not self.majority_is_recent(now):  # cut off, it would take all members for gone
+        if not self.majority_is_recent(now):  # cut off from the others, it would expire every member
             return self._end_waits(now)
         effects: list[Effect] = []
         for name in [name for name, member in self.members.items() if now > member.lease_until]:
@@ -224,11 +225,11 @@
         return effects + self._assign_shards(now) + self._remove_from_roster(now) + self._end_waits(now)
 
     def _remove_from_roster(self, now: float) -> list[Effect]:
-        """A store that is away for long or to be emptied, once all that it holds is safe without it."""
+        """Removes a store that is absent for long or being emptied, once no replica on it is needed."""
         self._departures.see(now, self.view, self.roster)
         if "" in self.view.owners:
             return []
-        self._departures.told(*self._told_by_owners())
+        self._departures.told(*self._safe_views_of_owners())
         if not self._start.old_leases_ended:
             return []
         emptied = {name: self.members[name].safe if name in self.members else None for name in self.retiring}
@@ -238,33 +239,34 @@
                 return [RemoveStore(name)]
         return []
 
-    def _told_by_owners(self) -> tuple[Number, Number]:
-        """The views under which all owners had their messages safe, with all stores and without those that
-        leave. Who was safe before it had got the last of its shards speaks for none of that one's messages.
-        """
+    def _safe_views_of_owners(self) -> tuple[Number, Number]:
+        """The newest views under which the messages of all owners were fully replicated, counting all stores
+        and not counting those that are leaving. A report from before the owner got the last of its shards
+        says nothing about that shard's messages, and is ignored."""
         safe, without_leaving = [], []
         for name, since in self.view.newest_epochs().items():
             owner = self.members.get(name)
-            told = (owner.safe, owner.safe_without_leaving) if owner is not None else (NO_VIEW, NO_VIEW)
-            safe.append(told[0] if told[0] >= since else NO_VIEW)
-            without_leaving.append(told[1] if told[1] >= since else NO_VIEW)
+            reported = (owner.safe, owner.safe_without_leaving) if owner is not None else (NO_VIEW, NO_VIEW)
+            safe.append(reported[0] if reported[0] >= since else NO_VIEW)
+            without_leaving.append(reported[1] if reported[1] >= since else NO_VIEW)
         return min(safe), min(without_leaving)
 
     def roster_change_ended(self, name: str) -> None:
-        """The store has been added or removed, or not; it is tried again where it must be."""
+        """The attempt to add or remove the store is over; it is repeated if it failed and is still due."""
         self._changing.discard(name)
 
     def has_returned(self, name: str) -> bool:
-        """Whether the store is to stay in the roster after all."""
+        """Whether the store has come back, so that it is to stay in the roster."""
         return name in self.members and name not in self.retiring
 
-    # Waiting for what members have applied
+    # Waiting for members to apply updates
 
     def wait(
         self, now: float, update_number: int, roles: tuple[str, ...], after_old_leases: bool = False
     ) -> tuple[int, list[Effect]]:
-        """A token; WaitEnded comes once all present members of those roles have applied that update, and with
-        `after_old_leases` once no store that is no member yet can hold a lease of an earlier leader."""
+        """Starts a wait and returns its token. WaitEnded follows once all present members of those roles have
+        applied that update and, with `after_old_leases`, no store that has not joined yet can hold a lease
+        of an earlier leader."""
         names = {name for name, member in self.members.items() if member.role in roles}
         token = self._waits.add(now, update_number, names, after_old_leases)
         return token, self._end_waits(now)
@@ -275,7 +277,7 @@
     # Updates
 
     def _broadcast(self, roles: tuple[str, ...] = ALL_ROLES, **content: Any) -> list[Effect]:
-        """An update with that content (fields of `protocol.Update`) to all members of these roles."""
+        """Sends an update with that content (fields of `protocol.Update`) to all members of these roles."""
         self.update_number += 1
         effects: list[Effect] = []
         for name, member in self.members.items():
@@ -294,7 +296,7 @@
         return self.update_number, effects
 
     def tell_duties(self, notices: Mapping[str, list[DutyNotice]]) -> list[Effect]:
-        """An update to each of these members that is one, with what it is to know of duties."""
+        """Sends each of these stores that is a member an update with its duty notices."""
         self.update_number += 1
         effects: list[Effect] = []
         for name, content in notices.items():
@@ -306,12 +308,12 @@
         return effects
 
     def knows_members(self, now: float) -> bool:
-        """Whether who is no member here is none of any leader: a majority has answered of late, and no store
-        can act under a lease of an earlier leader."""
+        """Whether a process that is no member here is no member of any leader: a majority has answered
+        recently, and no store can act under a lease of an earlier leader."""
         return self.leads and self.majority_is_recent(now) and self._start.old_leases_ended
 
     def configuration_changed(self, now: float, config: ConfigurationVersion) -> list[Effect]:
-        """The operator's configuration as it is in force now."""
+        """Takes the operator's configuration that is now in force, and sends it to all members."""
         if self.config is not None and self.config.revision == config.revision:
             return []
         self.config = config
@@ -320,10 +322,10 @@
         effects = self._broadcast(config=config)
         return [*effects, LogEvent("config_told", {"revision": config.revision, "n": self.update_number})]
 
-    # Whose each shard is
+    # Shard ownership
 
     def _assign_shards(self, now: float) -> list[Effect]:
-        """The next view, where something is to change and may."""
+        """Makes and sends the next view if something is to change and may change now."""
         if not self.majority_is_recent(now) or not self._may_assign(now):
             return []
         self._view_flow.is_due = not self._view_flow.may_send(now)
@@ -359,7 +361,8 @@
         return [*effects, LogEvent("view", fields)]
 
     def _may_assign(self, now: float) -> bool:
-        """Not before no store can act under a lease of an earlier leader; then from the newest view on."""
+        """Whether shards may be assigned: once no store can act under a lease of an earlier leader. The first
+        time, it adopts the newest known view."""
         if self._start.old_leases_ended:
             return True
         if not self._start.may_assign(now, self.roster, self.members):
@@ -374,13 +377,13 @@
 
     def _target_owners(self) -> list[str]:
         stores = {name: member for name, member in self.members.items() if self._is_registered_store(member)}
-        able = sorted(
+        eligible = sorted(
             name
             for name, member in stores.items()
             if not member.leaving and name not in self.retiring and self._is_complete(name)
         )
-        with_room = [name for name in able if not stores[name].full]
-        return shares(self.view.owners, with_room or able)
+        with_room = [name for name in eligible if not stores[name].full]
+        return shares(self.view.owners, with_room or eligible)
 
     @staticmethod
     def _is_registered_store(member: Member) -> bool:
@@ -408,7 +411,7 @@
         return {name: zone for name, zone in zones.items() if name in self.roster}
 
     def _adopt_first_view(self, now: float) -> None:
-        """What this lead begins with."""
+        """Adopts the view that this leadership begins with."""
         first = self._start.first_view(self.view, self.members)
         self._shards.begin(first.view, self.update_number + 1)
         self.view = first.view
@@ -418,14 +421,14 @@
         self._departures.see(now, self.view, self.roster)
 
     def _is_complete(self, name: str) -> bool:
-        """A store whose disk was lost counts once every owner has compared it and has its own messages
-        safe."""
+        """Whether a store's replicas count. A store that lost its disk is complete again once every owner has
+        audited it and has its own messages fully replicated."""
         member = self.members[name]
         if member.complete:
             return True
         owners = {owner for owner in self.view.owners if owner}
         if "" in self.view.owners or not owners:
-            # Nobody owns anything yet: on the very first start none has a past.
+            # Some shards are unowned. On the very first start all are, and no store has a past to restore.
             return False
         member.complete = all(
             owner == name or self._has_audited(owner, name, member.incarnation, since)
@@ -434,19 +437,21 @@
         return member.complete
 
     def _has_audited(self, owner: str, name: str, incarnation: str, since: Number) -> bool:
-        """Whether an owner has compared that store with all its shards, the last of which is its own `since`
-        that view: what it said before it had that one says nothing of its messages."""
+        """Whether an owner has audited that store for all its shards. It got the last of them in view
+        `since`: an older report says nothing about that shard's messages."""
         member = self.members.get(owner)
         return member is not None and member.safe >= since and member.audits.get(name) == incarnation
 
     # Workers
 
     def worker_heartbeat(self, now: float, entry: Worker) -> tuple[int, list[Effect]]:
-        """A worker's call. The update that stores must have applied before it is acknowledged; 0 for none."""
+        """Handles a worker's heartbeat. Returns the update that stores must have applied before the call is
+        acknowledged, 0 for none."""
         return self.registry.heartbeat(now, entry)
 
     def worker_left(self, now: float, id: str) -> tuple[int, list[Effect]]:
-        """A worker's last call. The update that stores must have applied before it is acknowledged."""
+        """Handles a worker's last call. Returns the update that stores must have applied before the call is
+        acknowledged."""
         return self.registry.left(now, id)
 
 
--- a/sableford/control/departures.py
+++ b/sableford/control/departures.py
@@ -1,17 +1,18 @@
-"""Which stores of the roster others can do without: the evidence for striking them off. No I/O.
+"""Which stores of the roster hold no needed replica, and which may be removed from it. No I/O.
 
-A store is struck off once it is away for long enough, or emptied, and every owner has told that all its
-messages have their copies without it. The evidence is kept from when it first holds, and told with the view:
-if another store is lost then, the next owners of its shards can tell nothing before they have opened them,
-and they wait for the stores of the roster.
+A store is removed once it has been away for long enough, or is emptied, and every shard owner has reported
+that all its messages are fully replicated without that store. The evidence is kept from the moment it first
+holds, and published in the view: if another store is lost afterwards, the next owners of its shards can
+report nothing until they have opened them, and opening a shard waits for the stores of the roster.
 
-    what the views show of a store              nothing counts on it   others can do without it
-    it leaves                                   from that view on      once owners `spares` that view
-    it is not there, or it is to be emptied     from that view on      once owners are `safe` under that view
-    it is back                                  -                      -
+    state of a store in the views     no new replica counts    no replica on it is needed
+    leaving                           from that view on        once owners report `safe_without_leaving`
+                                                               for that view
+    absent, or to be emptied          from that view on        once owners report `safe` for that view
+    back                              -                        -
 
-Every process follows the views, so that who leads next goes on from there. Where one may have missed a view,
-the store may have been back in between: only what the view itself says counts then.
+Every process follows the views, so that the next leader continues from the same state. A process that may
+have missed a view relies only on what the view itself says, since the store may have been back in between.
 """
 
 from collections.abc import Iterable
@@ -20,21 +21,19 @@
 
 
 class Departures:
-    """`absent_ms`: how long a store may be away, the time in which it was leaving included."""
+    """`absent_ms`: how long a store may be away, including the time during which it was leaving."""
 
     def __init__(self, absent_ms: float) -> None:
         self.absent_ms = absent_ms
         self._number: Number = (0, 0)
-        self._leaving: dict[str, float] = {}  # said that they leave and are not back, since when
-        self._away: dict[
-            str, float
-        ] = {}  # not there, since when, the time in which they were leaving included
-        self._departing: dict[str, Number] = {}  # the first view in which it leaves
-        self._without: dict[str, Number] = {}  # the first view in which it is not there or is to be emptied
+        self._leaving_since: dict[str, float] = {}  # stores that announced leaving and have not come back
+        self._absent_since: dict[str, float] = {}  # absent stores; includes the time they were leaving
+        self._leaving_view: dict[str, Number] = {}  # the first view in which the store is leaving
+        self._excluded_view: dict[str, Number] = {}  # the first view in which it is absent or to be emptied
         self._spared: set[str] = set()
 
     def see(self, now: float, view: View, roster: Iterable[str], made: bool = False) -> None:
-        """The view in force. `made`: by this process, from the one that it saw last."""
+        """Takes the view in force. `made`: this process built it from the view that it observed last."""
         term, count = self._number
         if not made and view.number not in ((term, count), (term, count + 1)):
             self.distrust()
@@ -42,64 +41,66 @@
             self._spared |= {*view.spared}
         self._number = view.number
         for name, info in view.live_stores.items():
-            self._see_live(now, name, info.leaving, info.retiring)
+            self._observe_live_store(now, name, info.leaving, info.retiring)
         for name in roster:
             if name not in view.live_stores:
-                self._away.setdefault(name, self._leaving.get(name, now))
-                if view.number != NO_VIEW:  # else nobody can have told of what is safe under it
-                    self._without.setdefault(name, view.number)
+                self._absent_since.setdefault(name, self._leaving_since.get(name, now))
+                if view.number != NO_VIEW:  # no owner can have reported what is safe under NO_VIEW
+                    self._excluded_view.setdefault(name, view.number)
         self._forget_others({*view.live_stores, *roster})
 
-    def _see_live(self, now: float, name: str, leaving: bool, retiring: bool) -> None:
-        self._away.pop(name, None)
+    def _observe_live_store(self, now: float, name: str, leaving: bool, retiring: bool) -> None:
+        self._absent_since.pop(name, None)
         if leaving:
-            self._leaving.setdefault(name, now)
+            self._leaving_since.setdefault(name, now)
         else:
-            self._leaving.pop(name, None)
+            self._leaving_since.pop(name, None)
         if leaving:
-            self._departing.setdefault(name, self._number)
+            self._leaving_view.setdefault(name, self._number)
         else:
-            self._departing.pop(name, None)
+            self._leaving_view.pop(name, None)
         if retiring:
-            self._without.setdefault(name, self._number)
+            self._excluded_view.setdefault(name, self._number)
         else:
-            self._without.pop(name, None)
-        if name not in self._departing and name not in self._without:
+            self._excluded_view.pop(name, None)
+        if name not in self._leaving_view and name not in self._excluded_view:
             self._spared.discard(name)
 
     def _forget_others(self, known: set[str]) -> None:
-        for table in (self._leaving, self._away, self._departing, self._without):
+        for table in (self._leaving_since, self._absent_since, self._leaving_view, self._excluded_view):
             for name in table.keys() - known:
                 del table[name]
         self._spared &= known
 
     def distrust(self) -> None:
-        """What was seen may be old: a store that was away may have been back since and gone again."""
-        self._departing, self._without, self._spared = {}, {}, set()
+        """Drops evidence that may be out of date: an absent store may have come back and left again since."""
+        self._leaving_view, self._excluded_view, self._spared = {}, {}, set()
 
     @property
     def spared(self) -> list[str]:
-        """Those that others can do without."""
+        """Stores on whose disks no replica is needed."""
         return sorted(self._spared)
 
-    def told(self, safe: Number, spares: Number) -> None:
-        """What all owners have told: under which view the messages of all shards had their copies; and the
-        same with nothing counted that is on a store which leaves."""
-        self._spared |= {name for name, number in self._without.items() if safe >= number}
-        self._spared |= {name for name, number in self._departing.items() if spares >= number}
+    def told(self, safe: Number, safe_without_leaving: Number) -> None:
+        """Takes what all owners have reported: the newest view under which the messages of all shards were
+        fully replicated, and the same without counting replicas on stores that are leaving."""
+        self._spared |= {name for name, number in self._excluded_view.items() if safe >= number}
+        self._spared |= {
+            name for name, number in self._leaving_view.items() if safe_without_leaving >= number
+        }
 
     def over(self, now: float, emptied: dict[str, Number | None]) -> list[str]:
-        """Stores to strike off. `emptied`: those that are to be emptied, with the newest view under which
-        each had handed on what it held; None where it is not there."""
+        """Stores to remove from the roster. `emptied`: stores that are being emptied, with the newest view
+        under which each had handed over what it held; None for a store that is absent."""
         found = []
-        for name in sorted(self._without):
+        for name in sorted(self._excluded_view):
             if name not in self._spared:
                 continue
-            handed_on = emptied.get(name)
-            if handed_on is not None:
-                ready = handed_on >= self._without[name]
+            handed_over = emptied.get(name)
+            if handed_over is not None:
+                ready = handed_over >= self._excluded_view[name]
             else:
-                ready = name in self._away and now - self._away[name] >= self.absent_ms
+                ready = name in self._absent_since and now - self._absent_since[name] >= self.absent_ms
             if ready:
                 found.append(name)
         return found
--- a/sableford/control/effects.py
+++ b/sableford/control/effects.py
@@ -1,4 +1,4 @@
-"""What the coordinator and its parts decide; the control service carries it out."""
+"""Effects that the coordinator and its parts return, for the control service to carry out."""
 
 from typing import Any, NamedTuple
 
@@ -6,33 +6,33 @@
 
 
 class SendUpdate(NamedTuple):
-    """To one member, on its link."""
+    """Send an update to one member, on its link."""
 
     member: str
     update: Update
 
 
 class AddStore(NamedTuple):
-    """The store is to be added to the roster before it holds anything."""
+    """Add the store to the roster, before it holds any replica."""
 
     name: str
 
 
 class RemoveStore(NamedTuple):
-    """The store is to be removed from the roster: whatever it holds is safe without it."""
+    """Remove the store from the roster: no replica on it is needed."""
 
     name: str
 
 
 class WaitEnded(NamedTuple):
-    """What `token` waited for has been applied by all who must, or can be waited for no longer."""
+    """The wait `token` is over: all members have applied the update, or the wait timed out."""
 
     token: int
     all_applied: bool
 
 
 class LogEvent(NamedTuple):
-    """For the log."""
+    """Write an event to the log."""
 
     event: str
     fields: dict[str, Any]
--- a/sableford/control/members.py
+++ b/sableford/control/members.py
@@ -1,4 +1,4 @@
-"""A process under a lease, as the leader knows it."""
+"""The leader's state of one member."""
 
 import msgspec
 
@@ -15,21 +15,21 @@
     node: str
     control: str
     lease_until: float
-    lease_is_unbroken: bool = False  # it held a lease without a break from its last view until it joined
+    lease_is_unbroken: bool = False  # it held a lease without a break from its newest view until it joined
     sent: int = 0  # the last update sent to it
-    acknowledged: int = -1  # update 0 is the snapshot of a leader that has sent no other yet
+    acknowledged: int = -1  # the last update that it has applied; 0 is a new leader's first snapshot
     leaving: bool = False
     complete: bool = True
-    registered: bool = False  # it stands in the roster
+    registered: bool = False  # it is in the roster
     empty: bool = False
-    audits: dict[str, str] = {}  # stores whose disk it has compared, by their incarnation
-    safe: Number = (0, 0)  # the newest view under which all messages of its shards had their replicas
-    safe_without_leaving: Number = (0, 0)  # the same, with nothing counted on stores that leave
-    full: bool = False  # its disk takes nothing more
+    audits: dict[str, str] = {}  # stores that it has audited for its shards, with their incarnation
+    safe: Number = (0, 0)  # the newest view under which all messages of its shards were fully replicated
+    safe_without_leaving: Number = (0, 0)  # the same, not counting replicas on stores that are leaving
+    full: bool = False  # its disk accepts no more writes
 
     def update_status(self, status: MemberStatus) -> bool:
-        """What the member says of itself now; whether that is anything new. What it has said of its leaving
-        and of what is safe is not taken back by a message that comes late."""
+        """Takes the member's reported status and returns whether it changed. A delayed message can't revert
+        `leaving` or move the safe views back."""
         before = (self.audits, self.full, self.leaving, self.safe, self.safe_without_leaving)
         self.audits, self.full = status.audits, status.full
         self.leaving = self.leaving or status.leaving
--- a/sableford/control/presence.py
+++ b/sableford/control/presence.py
@@ -1,7 +1,7 @@
-"""How long a store may be away before others take its place, and in which state each store is. No I/O.
+"""How long a store may be absent before others replace it, and the state of each store. No I/O.
 
-A machine that is lost stops counting as lost `sync_s` after it is back or after its successor started; from
-then on another one may be lost. Its vote, its copies and its line of the roster must have moved by then.
+A lost machine stops counting as lost `sync_s` after it is back or after its successor started; from then on
+another machine may fail. Its vote, its replicas and its entry of the roster must have moved by then.
 """
 
 from collections.abc import Iterable
@@ -10,89 +10,95 @@
 from sableford.control.timing import LEASE_MS
 from sableford.control.view import StoreInfo
 
-ABSENT_PART = 0.4  # of sync_s: longer than a planned restart takes; half of sync_s stays for the moves
-JOIN_MS = 500.0  # ms for members to find a new leader: their renewals and lines take half of that
-RESIGN_AFTER = 1000.0  # ms that a leader leads on while it leaves: most end sooner, and then nobody waits
-MOVE_MS = 800.0  # ms to agree on a voter and another, to copy what was on the lost disk, and to strike it off
+ABSENT_FRACTION = 0.4  # of sync_s: longer than a planned restart; half of sync_s is left for the moves
+JOIN_MS = 500.0  # for members to find a new leader: their renewals and connections take half of that
+# How long a leader that is shutting down goes on leading: most exit sooner, and then nobody waits.
+RESIGN_AFTER = 1000.0
+# To agree on replacing a voter, to copy what was on the lost disk, and to remove it from the roster.
+MOVE_MS = 800.0
 
 
 class Presence(Enum):
-    """Why a store keeps its seat among the voters, or is to hand it on."""
+    """The state of a store, which decides whether it keeps its vote."""
 
     SERVING = "a member under a lease"
-    UNHEARD = "not heard of since this lead began"
-    ABSENT = "was here, has been away for less than the patience"
-    LEAVING = "its process ends: it may come back or be gone for good, nobody can say which"
-    RETIRING = "is to be emptied"
-    GONE = "away for longer than the patience, or after it said that it leaves"
+    UNHEARD = "has not joined this leader yet"
+    ABSENT = "had joined, absent for less than the limit"
+    LEAVING = "shutting down: a restart or for good, which can't be known"
+    RETIRING = "being emptied"
+    GONE = "absent for longer than the limit, or after announcing that it leaves"
 
 
 KEEPS_SEAT = frozenset({Presence.SERVING, Presence.UNHEARD, Presence.ABSENT})
 
 
 def patience_ms(sync_s: float) -> float:
-    """How long a store may be away, after its lease has run out, before others do without it.
+    """How long a store may be absent after its lease has expired before it is replaced.
 
     >>> patience_ms(4.4), patience_ms(2.0), patience_ms(1.0)
     (1760.0, 200.0, 0.0)
     """
     sync_ms = sync_s * 1000.0
-    return max(0.0, min(ABSENT_PART * sync_ms, sync_ms - LEASE_MS - MOVE_MS))
+    return max(0.0, min(ABSENT_FRACTION * sync_ms, sync_ms - LEASE_MS - MOVE_MS))
 
 
 class PresenceTracker:
-    """Since when each voter has been away, as one leader sees it. Times are ms of its own clock.
-
-    state          input                           next state
-    -              this lead begins                UNHEARD
-    any            a member, nothing else          SERVING
-    any            a member that leaves / retires  LEAVING / RETIRING
-    SERVING        no member                       ABSENT
-    LEAVING        no member                       GONE
-    UNHEARD        it had said that it leaves      GONE
-    UNHEARD        away for `patience`             GONE, once members had time to join
-    ABSENT         away for `patience`             GONE
+    """Tracks since when each voter has been absent, as one leader sees it. Times are ms of its own clock.
+
+    state          input                             next state
+    -              this process becomes leader       UNHEARD
+    any            a member                          SERVING
+    any            a leaving / retiring member       LEAVING / RETIRING
+    SERVING        not a member                      ABSENT
+    LEAVING        not a member                      GONE
+    UNHEARD        had announced that it leaves      GONE
+    UNHEARD        absent for `patience`             GONE, once members had time to join
+    ABSENT         absent for `patience`             GONE
     """
 
     def __init__(self, patience: float) -> None:
         self.patience = patience
-        self._since: dict[str, float] = {}  # not there, by the views of others or the own leases
-        self._began = 0.0  # this lead
-        self._heard: set[str] = set()  # in this lead
-        self._announced: set[str] = set()  # said that they leave when last heard, by any leader's view
+        self._absent_since: dict[str, float] = {}  # by other leaders' views or by this leader's leases
+        self._leading_since = 0.0
+        self._joined: set[str] = set()  # members since this process became leader
+        self._leaving: set[str] = set()  # had announced that they leave when last seen, in any leader's view
 
     def begin(self, now: float) -> None:
-        """This process leads from now on."""
-        self._began, self._heard = now, set()
+        """This process becomes leader."""
+        self._leading_since, self._joined = now, set()
 
     def observe(self, now: float, live_stores: dict[str, StoreInfo], known: Iterable[str]) -> None:
-        """Another leader's view. `known`: names that anyone may ask about; others are forgotten."""
+        """Takes another leader's view. `known`: names that may be asked about; all others are forgotten."""
         known = {*known, *live_stores}
         for name, store_info in live_stores.items():
-            self._since.pop(name, None)
+            self._absent_since.pop(name, None)
             if store_info.leaving:
-                self._announced.add(name)
+                self._leaving.add(name)
             else:
-                self._announced.discard(name)
-        self._announced &= known
-        self._since = {name: self._since.get(name, now) for name in known if name not in live_stores}
+                self._leaving.discard(name)
+        self._leaving &= known
+        self._absent_since = {
+            name: self._absent_since.get(name, now) for name in known if name not in live_stores
+        }
 
     def of(
         self, now: float, name: str, member: bool, leaving: bool = False, retiring: bool = False
     ) -> Presence:
-        """The state of one store: `member` and `leaving` by its lease, `retiring` by the roster."""
+        """The state of one store. `member` and `leaving` come from its lease, `retiring` from the roster."""
         if member:
-            self._since.pop(name, None)
-            self._heard.add(name)
+            self._absent_since.pop(name, None)
+            self._joined.add(name)
             if leaving:
-                self._announced.add(name)
+                self._leaving.add(name)
             else:
-                self._announced.discard(name)
+                self._leaving.discard(name)
             if retiring:
                 return Presence.RETIRING
             return Presence.LEAVING if leaving else Presence.SERVING
-        since = self._since.setdefault(name, now)
-        late = now - since >= self.patience and (name in self._heard or now - self._began >= JOIN_MS)
-        if retiring or late or name in self._announced:
+        since = self._absent_since.setdefault(name, now)
+        is_overdue = now - since >= self.patience and (
+            name in self._joined or now - self._leading_since >= JOIN_MS
+        )
+        if retiring or is_overdue or name in self._leaving:
             return Presence.GONE
-        return Presence.ABSENT if name in self._heard else Presence.UNHEARD
+        return Presence.ABSENT if name in self._joined else Presence.UNHEARD
--- a/sableford/control/shard_assignment.py
+++ b/sableford/control/shard_assignment.py
@@ -1,7 +1,7 @@
-"""Who owns each shard in the next view. No I/O.
+"""Decides which store owns each shard in the next view. No I/O.
 
-A shard changes hands by way of a view in which it is nobody's. It is given to the next owner once nobody
-can act on it any more: the old owner has acknowledged that view, or is gone.
+Before a shard changes owners, a view leaves it unowned. It is assigned to the next owner once no store can
+act on it any more: the old owner has acknowledged that view, or is gone.
 """
 
 from typing import NamedTuple
@@ -11,15 +11,15 @@
 
 
 class Release(NamedTuple):
-    """Who must acknowledge which update before a shard is given away; no name stands for all stores."""
+    """The store that must acknowledge an update before a shard may be assigned again; all stores if `store`
+    is empty."""
 
     store: str
     update_number: int
 
 
 class ShardAssignment(NamedTuple):
-    """Owners, their incarnations and the epochs of all shards, and whether they differ from the last
-    view's."""
+    """The owners of all shards, their incarnations and epochs. `changed`: they differ from the last view."""
 
     owners: list[str]
     incarnations: list[str]
@@ -28,14 +28,14 @@
 
 
 class ShardAssigner:
-    """Keeps in mind which releases are awaited."""
+    """Tracks which releases are awaited."""
 
     def __init__(self) -> None:
         self._awaited: dict[int, Release] = {}  # by shard
 
     def begin(self, view: View | None, next_update: int) -> None:
-        """A lead begins from this view. Of a shard that was being moved the old owner may not have heard yet:
-        all must have heard first."""
+        """A new leader begins with this view. The old owner of a shard that was being moved may not know yet:
+        all stores must have applied the view before the shard is assigned."""
         owners = view.owners if view is not None else []
         self._awaited = {shard: Release("", next_update) for shard, owner in enumerate(owners) if not owner}
 
@@ -48,8 +48,8 @@
         stores: dict[str, Member],
         next_update: int,
     ) -> ShardAssignment:
-        """The assignment of view `number`, towards `targets`. `stores`: all stores that are members, also one
-        that was removed from the roster just as it came back, since it may act on a shard still."""
+        """The assignment in view `number`, one step towards `targets`. `stores`: all stores that are members,
+        including one that was removed from the roster just as it came back and may still act on a shard."""
         owners, incarnations, epochs = list(view.owners), list(view.incarnations), list(view.epochs)
         changed = view.number[0] != term
         for shard in range(SHARDS):
@@ -72,7 +72,7 @@
         return ShardAssignment(owners, incarnations, epochs, changed)
 
     def _is_held(self, shard: int, stores: dict[str, Member]) -> bool:
-        """Whether someone may still act on a shard that is nobody's by the last view."""
+        """Whether a store may still act on a shard that the last view leaves unowned."""
         release = self._awaited.get(shard)
         if release is None:
             return False
--- a/sableford/control/worker_registry.py
+++ b/sableford/control/worker_registry.py
@@ -1,15 +1,15 @@
-"""The leader's list of workers: their calls, and which updates stores must have applied before one of them is
+"""The leader's list of workers: their calls, and the updates that stores must have applied before a call is
 acknowledged. No I/O.
 
 call                         list                      to be applied by all stores before the acknowledgement
 ready                        the worker's entry        nothing
-draining                     its entry, for good       the update that told of it under this leader
-draining, sent again         as it was                 the same update
-leave, first or sent again   none, for good            the update that told of it under this leader
+draining                     its entry, permanently    this leader's update about it
+draining, sent again         unchanged                 the same update
+leave, first or sent again   none, permanently         this leader's update about it
 silence                      none, it may come back    -
 
-A call that is sent again changes nothing and must wait all the same: its first sending may still be on its
-way to the stores. A leader that has just begun tells anew what an earlier one may have told.
+A repeated call changes nothing, but waits all the same: the update of the first one may still be on its way
+to the stores. A new leader sends the update again that an earlier one may have sent.
 """
 
 from collections.abc import Callable
@@ -20,17 +20,17 @@
 from sableford.control.effects import Effect, LogEvent
 from sableford.control.workers import DRAINING, Departure, Worker, WorkerTable
 
-MISSED_HEARTBEATS = 3.2  # then a worker counts as gone
+MISSED_HEARTBEATS = 3.2  # heartbeat intervals without a call after which a worker is removed
 
 
 class WorkerListed(NamedTuple):
-    """A worker is new, or its entry has changed."""
+    """A worker was added, or its entry has changed."""
 
     worker: Worker
 
 
 class WorkerRemoved(NamedTuple):
-    """A worker is listed no more. `left`: it will not be back."""
+    """A worker was removed from the list. `left`: it will not be back."""
 
     id: str
     left: bool
@@ -52,12 +52,13 @@
         self._departure_updates: dict[tuple[str, Departure], int] = {}
 
     def become_leader(self, now: float) -> None:
-        """Workers get a whole time-out to call this leader."""
+        """This process becomes leader; workers get a whole time-out to call it."""
         self._departure_updates = {}
         self._expires_at = {id: now + self._timeout_ms for id in self.table.entries}
 
     def heartbeat(self, now: float, entry: Worker) -> tuple[int, list[Effect]]:
-        """The update to be applied before the call is acknowledged, 0 for none; and what is to be sent."""
+        """Handles a heartbeat. Returns the update to be applied before it is acknowledged, 0 for none, and
+        the effects."""
         id, drains = entry.id, entry.phase == DRAINING
         if self.table.departure(now, id) is Departure.LEFT:
             return self.left(now, id) if drains else (0, [])
@@ -67,20 +68,20 @@
             self._expires_at[id] = now + self._timeout_ms
         worker = self.table.put(now, entry)
         assert worker is not None, "only one that has left is not listed"
-        is_untold = drains and (id, Departure.DRAINING) not in self._departure_updates
-        if known is None or is_untold or not _alike(known, worker):
+        is_unsent = drains and (id, Departure.DRAINING) not in self._departure_updates
+        if known is None or is_unsent or not _is_same_entry(known, worker):
             effects += self._broadcast_worker(worker)
         return self._departure_updates[id, Departure.DRAINING] if drains else 0, effects
 
     def left(self, now: float, id: str) -> tuple[int, list[Effect]]:
-        """A worker's last call: the update to be applied before it is acknowledged, and what is to be
-        sent."""
+        """Handles a worker's last call. Returns the update to be applied before it is acknowledged, and the
+        effects."""
         update = self._departure_updates.get((id, Departure.LEFT))
         effects = self._remove(now, id, "left", left=True) if update is None else []
         return self._departure_updates[id, Departure.LEFT], effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Those that have fallen silent are removed."""
+        """Removes workers whose heartbeats have stopped."""
         effects: list[Effect] = []
         for id in [id for id, expires_at in self._expires_at.items() if now > expires_at]:
             effects += self._remove(now, id, "silent")
@@ -89,7 +90,7 @@
         return effects
 
     def learn(self, now: float, departed: dict[str, int]) -> list[Effect]:
-        """Departures that a store knows of, and which an earlier leader may have acknowledged."""
+        """Takes the departures that a store reports; an earlier leader may have acknowledged them."""
         effects: list[Effect] = []
         for id, value in departed.items():
             departure = Departure(min(value, Departure.LEFT))
@@ -103,7 +104,8 @@
         return effects
 
     def _remove_others_at(self, now: float, address: str) -> list[Effect]:
-        """An address has one process: whoever had it has ended."""
+        """Removes the worker that was listed at the address: only one process can have it, so that one has
+        ended."""
         effects: list[Effect] = []
         for id in [entry.id for entry in self.table.entries.values() if entry.address == address]:
             effects += self._remove(now, id, "its address has another incarnation", left=True)
@@ -125,6 +127,6 @@
         return [*effects, LogEvent("worker_gone", {"worker": id, "why": why, "n": number})]
 
 
-def _alike(one: Worker, other: Worker) -> bool:
-    """But for what changes with each call."""
+def _is_same_entry(one: Worker, other: Worker) -> bool:
+    """Whether two entries are equal, apart from the fields that change with each call."""
     return msgspec.structs.replace(one, cold_ms=other.cold_ms, count=other.count) == other
--- a/sableford/control/workers.py
+++ b/sableford/control/workers.py
@@ -1,16 +1,16 @@
-"""The list of workers as one process knows it, and what it may not unlearn. No I/O.
+"""The list of workers as one process knows it, and the departures that it must not forget. No I/O.
 
 known of the id       input                      next state
-left                  entry, snapshot            as it was: its incarnation has ended
-draining              entry, snapshot            the entry, draining still
-an entry              entry of a lower count     as it was: a late call
+left                  entry, snapshot            unchanged: its incarnation has ended
+draining              entry, snapshot            the entry, still draining
+an entry              entry of a lower count     unchanged: a delayed call
 an entry, or none     entry                      the entry
 any                   removed, and it had left   no entry, left
 any                   removed, it was silent     no entry; draining stays known
 
-Within one incarnation a worker goes from ready to draining to left and never back. What has been acknowledged
-of that must hold whoever leads next, and a leader may have been cut off when it was told. So every store
-holds to what it knows by itself, for a minute, and tells a leader that it joins (`departures`).
+Within one incarnation a worker goes from ready to draining to left and never back. An acknowledged departure
+must hold under every later leader, including one that was cut off when it happened. So each store remembers
+departures by itself for a minute, and reports them to each leader that it joins (`departures`).
 """
 
 from collections.abc import Iterable
@@ -19,13 +19,13 @@
 
 import msgspec
 
-REMEMBERED_MS = 60_000.0  # ms that a departure is known: a late call is never so late
+DEPARTURE_RETENTION_MS = 60_000.0  # no call is delayed for that long
 READY, DRAINING = "ready", "draining"  # an entry's phase, on the wire
 
 
 class Worker(msgspec.Struct):
-    """An entry of the list, as stores get it. `cold_ms` counts from when it was sent; `count` is the number
-    of the worker's call that it comes from."""
+    """An entry of the list, as it is sent to stores. `cold_ms` is the rest of the worker's slow start when
+    the entry was sent; `count` is the number of the worker's call that it comes from."""
 
     id: str
     backend: str
@@ -39,7 +39,7 @@
 
 
 class Departure(IntEnum):
-    """How far a worker has gone; on the wire as a number."""
+    """How far a worker's departure has got; sent as a number."""
 
     DRAINING = 1
     LEFT = 2
@@ -51,27 +51,27 @@
 
 
 class WorkerTable:
-    """Entries by the workers' ids, and departures. Times are ms of the owner's steady clock."""
+    """Entries by worker id, and departures. Times are ms of the process's monotonic clock."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Worker] = {}
         self._departed: dict[str, _KnownDeparture] = {}
 
     def departure(self, now: float, id: str) -> Departure | None:
-        """How far a worker is known to have gone."""
+        """The departure that is known of a worker, if any."""
         known = self._departed.get(id)
         return known.departure if known is not None and known.until > now else None
 
     def departures(self, now: float) -> dict[str, int]:
-        """All that are known, for a leader that may know less."""
+        """All departures that are known, to report to a new leader."""
         self._departed = {id: known for id, known in self._departed.items() if known.until > now}
         return {id: known.departure.value for id, known in self._departed.items()}
 
     def depart(self, now: float, id: str, departure: Departure) -> bool:
-        """Whether that was new."""
+        """Notes a departure, and returns whether it was new."""
         before = self.departure(now, id)
         farthest = max(departure, before or departure)
-        self._departed[id] = _KnownDeparture(farthest, now + REMEMBERED_MS)
+        self._departed[id] = _KnownDeparture(farthest, now + DEPARTURE_RETENTION_MS)
         entry = self.entries.get(id)
         if entry is not None and farthest is Departure.LEFT:
             del self.entries[id]
@@ -80,7 +80,7 @@
         return before is None or departure > before
 
     def put(self, now: float, entry: Worker) -> Worker | None:
-        """The entry as it stands after it; none where the worker has left."""
+        """Takes an entry and returns the one now listed; None if the worker has left."""
         departure = self.departure(now, entry.id)
         if departure is Departure.LEFT:
             return None
@@ -94,13 +94,13 @@
         return entry
 
     def remove(self, now: float, id: str, left: bool) -> None:
-        """`left`: its incarnation has ended; else it was silent, and may call again."""
+        """Removes an entry. `left`: its incarnation has ended; else it was silent, and may call again."""
         if left:
             self.depart(now, id, Departure.LEFT)
         self.entries.pop(id, None)
 
     def replace(self, now: float, entries: Iterable[Worker]) -> None:
-        """Just these entries from now on, as far as they agree with what is known here."""
+        """Replaces all entries by these, except where they contradict what is known here."""
         before, self.entries = self.entries, {}
         for entry in entries:
             if (known := before.get(entry.id)) is not None:
