--- a/sableford/control/configuration.py
+++ b/sableford/control/configuration.py
@@ -1,41 +1,42 @@
-"""What an operator's configuration must be, and what an amendment makes of one. No I/O.
+"""Validates an operator's configuration, and applies amendments to one. No I/O.
 
-The page PROTOCOL.md ("The operator") gives the form; fields that it does not name are kept as they came.
+PROTOCOL.md ("The operator") defines the format; fields that it does not name are kept unchanged.
 """
 
 from typing import Annotated, Any
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, ValidationError, model_validator
 
-# A version above it could not be written exactly by every JSON reader (RFC 8259, section 6), and the largest
-# 64-bit number, once taken, would leave no room for any later version.
+# Not every JSON implementation represents a larger number exactly (RFC 8259, section 6), and the largest
+# 64-bit number, once used, would leave no room for any later version.
 MAX_REVISION = 2**53 - 1
-MAX_DEPTH = 64  # levels of nesting: far more than any configuration has, and fewer than JSON writers bear
+MAX_DEPTH = 64  # levels of nesting: far more than any configuration has, and fewer than JSON writers support
 MAX_PORT = 65_535
-OPTIONAL_PARTS = ("tenants",)  # that a configuration may be without, and an amendment may bring
+OPTIONAL_PARTS = ("tenants",)  # may be absent from a configuration, and added by an amendment
 
 
 def _without_fraction(value: Any) -> Any:
-    """JSON has one kind of number: 2.0 is 2."""
+    """Converts 2.0 to 2: JSON has only one kind of number."""
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
-Whole = Annotated[int, BeforeValidator(_without_fraction)]
+Integer = Annotated[int, BeforeValidator(_without_fraction)]
 Text = Annotated[str, Field(min_length=1)]
-Figure = Annotated[float, Field(ge=0, allow_inf_nan=False)]
+NonNegative = Annotated[float, Field(ge=0, allow_inf_nan=False)]
 Positive = Annotated[float, Field(gt=0, allow_inf_nan=False)]
-# A tenant's name goes to workers in a header, a key comes in one: neither may end the line or lose its ends.
+# A tenant's name is sent to workers in a header, and a key is received in one: neither may contain anything
+# that ends the header line, or begin or end with blanks, which would be stripped.
 HEADER_VALUE = r"^[^\x00-\x20\x7f]([^\x00-\x1f\x7f]*[^\x00-\x20\x7f])?$"
 VISIBLE = r"^[^\x00-\x20\x7f]+$"
 Revision = Annotated[int, Field(ge=1, le=MAX_REVISION, strict=True)]
 
 
 class InvalidRequestError(Exception):
-    """One line that names the field."""
+    """An invalid request; the text is one line that names the field."""
 
 
 class _Part(BaseModel):
-    """Strict: members read the document as it came, so nothing may be taken for another type here."""
+    """Strict, without type conversion: members read the document as it was sent."""
 
     model_config = ConfigDict(extra="allow", strict=True)
 
@@ -47,21 +48,21 @@
     backend: Text
     deadlineMs: Positive
     variant: str = "deferred"
-    targetMs: Figure = 0
-    rank: Whole = 0
-    maxTries: Annotated[Whole, Field(ge=1)] = 1
+    targetMs: NonNegative = 0
+    rank: Integer = 0
+    maxTries: Annotated[Integer, Field(ge=1)] = 1
     fifo: bool = False
-    retentionS: Figure = 0
+    retentionS: NonNegative = 0
     notify: bool = False
     public: bool = False
-    startTargetMs: Figure | None = None
+    startTargetMs: NonNegative | None = None
 
 
 class Backend(_Part):
     name: Text
     healthPath: str = "/"
-    maxConns: Annotated[Whole, Field(ge=1)] = 1
-    ratePerS: Figure = 0
+    maxConns: Annotated[Integer, Field(ge=1)] = 1
+    ratePerS: NonNegative = 0
     idempotent: bool = False
     pulled: bool = False
     endpoint: Annotated[str, Field(pattern=r"^[^:\s]+:[0-9]{1,5}$")] | None = None
@@ -74,16 +75,16 @@
 
 
 class Tenant(_Part):
-    """A party whose requests are known by any of its keys. One without keys sends nothing."""
+    """A tenant, whose requests carry one of its keys. A tenant without keys can't send any."""
 
     name: Annotated[str, Field(pattern=HEADER_VALUE)]
     apiKeys: list[Annotated[str, Field(pattern=VISIBLE)]]
-    rank: Whole = 0
+    rank: Integer = 0
 
 
 class Limits(_Part):
-    maxHeaderBytes: Annotated[Whole, Field(gt=0)] = 16_384
-    maxBodyBytes: Annotated[Whole, Field(gt=0)] = 262_144
+    maxHeaderBytes: Annotated[Integer, Field(gt=0)] = 16_384
+    maxBodyBytes: Annotated[Integer, Field(gt=0)] = 262_144
     headerTimeoutMs: Positive = 3000
     idleTimeoutMs: Positive = 15_000
 
@@ -93,28 +94,28 @@
     routes: list[Route]
     backends: list[Backend]
     limits: Limits = Limits()
-    tenants: list[Tenant] | None = None  # none: nobody is asked for a key
+    tenants: list[Tenant] | None = None  # None: no request needs a key
 
     @model_validator(mode="after")
-    def _fits(self) -> "Configuration":
-        known = {one.name for one in self.backends}
+    def _check_references(self) -> "Configuration":
+        known = {backend.name for backend in self.backends}
         if len(known) < len(self.backends):
             raise ValueError("backends: two of one name")
-        if len({one.name for one in self.routes}) < len(self.routes):
+        if len({route.name for route in self.routes}) < len(self.routes):
             raise ValueError("routes: two of one name")
-        places = set()
-        for at, one in enumerate(self.routes):
-            if one.backend not in known:
-                raise ValueError(f"routes.{at}.backend: {one.backend!r} is not among the backends")
-            place = one.hostname.lower(), one.pathPrefix
-            if place in places:
-                raise ValueError(f"routes.{at}: another route has {one.hostname}{one.pathPrefix}")
-            places.add(place)
+        targets = set()
+        for at, route in enumerate(self.routes):
+            if route.backend not in known:
+                raise ValueError(f"routes.{at}.backend: {route.backend!r} is not among the backends")
+            target = route.hostname.lower(), route.pathPrefix
+            if target in targets:
+                raise ValueError(f"routes.{at}: another route has {route.hostname}{route.pathPrefix}")
+            targets.add(target)
         self._check_tenants()
         return self
 
     def _check_tenants(self) -> None:
-        """Raises ValueError, which names tenants and no key."""
+        """Raises ValueError, whose text names tenants but never a key."""
         holders: dict[str, str] = {}
         names = set()
         for at, tenant in enumerate(self.tenants or []):
@@ -127,7 +128,7 @@
 
 
 def check(doc: Any) -> Configuration:
-    """Raises InvalidRequestError.
+    """Validates a configuration. Raises InvalidRequestError.
 
     >>> try:
     ...     check({"revision": 1, "routes": [], "backends": [{"name": ""}]})
@@ -145,8 +146,8 @@
 
 
 def check_depth(given: Any) -> None:
-    """Raises InvalidRequestError where JSON is nested deeper than its writers, here and at others, can
-    follow."""
+    """Raises InvalidRequestError if the JSON is nested deeper than the JSON writers, here and elsewhere,
+    support."""
     level = [given]
     for _ in range(MAX_DEPTH):
         below: list[Any] = []
@@ -162,7 +163,7 @@
 
 
 def amended(doc: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
-    """The configuration that an amendment makes; `doc` stays as it is. Raises InvalidRequestError.
+    """The configuration after an amendment; `doc` is not modified. Raises InvalidRequestError.
 
     >>> amended({"revision": 1, "routes": [{"name": "a"}, {"name": "b"}]}, {"revision": 2,
     ...     "upsert": {"routes": [{"name": "b", "x": 1}, {"name": "c"}]}, "remove": {"routes": ["a"]}})
@@ -194,14 +195,14 @@
     return list(given.items())
 
 
-def _named(items: Any) -> bool:
+def _are_named(items: Any) -> bool:
     return isinstance(items, list) and all(
         isinstance(item, dict) and isinstance(item.get("name"), str) for item in items
     )
 
 
 def _without(present: Any, names: Any, part: str) -> list[dict[str, Any]]:
-    if not _named(present):
+    if not _are_named(present):
         raise InvalidRequestError(f"remove.{part}: the configuration has no named items of that kind")
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise InvalidRequestError(f"remove.{part}: a list of names is wanted")
@@ -210,9 +211,9 @@
 
 
 def _with(present: Any, items: Any, part: str) -> list[dict[str, Any]]:
-    if not _named(present):
+    if not _are_named(present):
         raise InvalidRequestError(f"upsert.{part}: the configuration has no named items of that kind")
-    if not _named(items):
+    if not _are_named(items):
         raise InvalidRequestError(f"upsert.{part}: a list of items with names is wanted")
     if len({item["name"] for item in items}) < len(items):
         raise InvalidRequestError(f"upsert.{part}: two items of one name")
--- a/sableford/control/configuration_keeper.py
+++ b/sableford/control/configuration_keeper.py
@@ -1,4 +1,4 @@
-"""The configuration as the record holds it, and proposals for the next version."""
+"""The configuration in the record, and proposals for the next version."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class ConfigurationKeeper:
-    """`on_changed` gets each version that comes into force."""
+    """`on_changed` is called with each version that comes into force."""
 
     def __init__(
         self,
@@ -28,12 +28,12 @@
         self.state = orders.State()
         self._index = 0  # of the record's entry that set it
         self._archive = order_history.Archive()
-        self._segments: dict[str, int] = {}  # of the archive, with the entries that wrote them
+        self._segments: dict[str, int] = {}  # keys of the archive, with the index of the entry that set them
         self._archiving: set[asyncio.Task[Any]] = set()
-        self._proposals: dict[int, asyncio.Future[None]] = {}  # under way, by the entry they would replace
+        self._proposals: dict[int, asyncio.Future[None]] = {}  # in flight, by the entry they would replace
 
     def apply(self, values: dict[str, Any]) -> None:
-        """What the record's values are now."""
+        """Takes the record's current values."""
         self._apply_archive(values)
         value = values.get(CONFIGURATION_KEY)
         if value is None or value.index == self._index:
@@ -43,7 +43,7 @@
         self._on_changed(ConfigurationVersion(self.state.revision, self.state.doc))
 
     def _apply_archive(self, values: dict[str, Any]) -> None:
-        """Segments of the orders' history, read anew once one has been written or has gone."""
+        """Reads the segments of the order history again if one was written or deleted."""
         keys = {key: value.index for key, value in values.items() if key.startswith(order_history.PREFIX)}
         if keys == self._segments:
             return
@@ -52,10 +52,10 @@
         self.state = self.state._replace(archive=self._archive)
 
     async def propose(self, state: orders.State, timeout_ms: float) -> ProposalOutcome:
-        """The configuration, in place of the one that it was decided on."""
+        """Proposes a configuration, to replace the one that it was derived from."""
         earlier = self._proposals.get(state.entry)
         if earlier is not None:
-            # One of the two must lose, and need not be written: it is decided anew once the other has ended.
+            # Only one of the two can succeed. This one is not written; its caller decides again afterwards.
             await asyncio.wait([earlier], timeout=timeout_ms / 1000.0)
             return ProposalOutcome.SUPERSEDED if earlier.done() else ProposalOutcome.REFUSED
         ended = self._proposals[state.entry] = self._loop.create_future()
@@ -78,8 +78,8 @@
         return ProposalOutcome.TOO_LARGE if len(data) > MAX_VALUE_BYTES else ProposalOutcome.REFUSED
 
     def _archive_old_orders(self) -> None:
-        """Orders taken long ago, into a value of their own; nobody waits for it, and the next order tries
-        again if it fails."""
+        """Moves old orders into a value of their own, in the background; if that fails, the next order tries
+        again."""
         unix_ms = self._unix_ms()
         segment = order_history.closed_segment(self.state.recent, self._archive, unix_ms)
         if segment is None:
--- a/sableford/control/duty_manager.py
+++ b/sableford/control/duty_manager.py
@@ -1,7 +1,8 @@
-"""The leader's side of a duty: who holds it and which windows are sealed, each agreed on in the record.
+"""The leader's side of a duty: which store holds it and which usage windows are sealed, both agreed on in the
+record.
 
-Stores are told of a state once it is agreed on. One change is under way at a time; it is decided anew on the
-state in force where it did not come about.
+Stores are sent a state once it is committed. One change is proposed at a time; if it fails, the next one is
+computed from the state then in force.
 """
 
 import asyncio
@@ -25,8 +26,8 @@
 
 
 class DutyManager:
-    """`leads` says whether this process leads; `carry_out` takes what the coordinator has to send. Times are
-    ms, `now` of the steady clock and `unix_ms` of the time of day."""
+    """`leads`: whether this process is the leader; `carry_out` takes the coordinator's effects. Times are ms,
+    `now` of the monotonic clock and `unix_ms` of the time of day."""
 
     def __init__(
         self,
@@ -48,16 +49,16 @@
         self._recent_holders = RecentHolders(bar_ms)
         self.state = DutyState()
         self._index = 0  # of the record's entry that set it
-        self._refused_epoch = 0  # the newest that a holder has been refused under
-        self._accepted_until = 0  # windows that the platform has, as the holder says
+        self._refused_epoch = 0  # the newest epoch under which the platform has refused a holder
+        self._accepted_until = 0  # the platform has accepted windows up to this one, as the holder reports
         self._change: asyncio.Task[None] | None = None
         self._reason = ""  # of the change of holder that is proposed
         self._leads_since = 0.0  # ms of the time of day
-        self._member_until: dict[str, float] = {}  # by store: when it was last seen to be a member, the same
+        self._member_until: dict[str, float] = {}  # by store: when it was last a member, in the same time
         coordinator.duties_for = self._snapshot_for
 
     def apply(self, values: dict[str, Any]) -> None:
-        """What the record's values are now."""
+        """Takes the record's current values."""
         value = values.get(self._key)
         if value is None or value.index == self._index:
             return
@@ -66,17 +67,17 @@
         self._recent_holders.observe(self._now(), self.state)
         self._ledger.sealed(self.state.sealed_until)
         if self._leads():
-            self._tell(before)
+            self._notify_stores(before)
             self._log_change(before)
 
     def become_leader(self) -> None:
-        """This process leads from now on; members tell it all that they know when they join."""
+        """This process becomes leader; members report all their usage when they join."""
         self._ledger.clear()
         self._accepted_until = 0
         self._leads_since, self._member_until = self._unix_ms(), {}
 
     def heard(self, status: MemberStatus) -> None:
-        """What a member has said of itself, in a join or a renewal."""
+        """Takes the status that a member reports with a join or a renewal."""
         if status.usage or status.usage_settled:
             self._ledger.heard(status.incarnation, UsageStatus(status.usage, status.usage_settled))
         report = status.duties.get(self._duty)
@@ -87,24 +88,24 @@
             self._refused_epoch = max(self._refused_epoch, report.epoch)
 
     def tick(self) -> None:
-        """What is due."""
+        """Proposes the next change if one is due."""
         now = self._now()
         if self._leads():
             self._member_until.update(dict.fromkeys(self._coordinator.members, self._unix_ms()))
         is_under_way = self._change is not None and not self._change.done()
         if is_under_way or not self._leads() or not self._coordinator.knows_members(now):
             return
-        wanted = self._wanted(now)
-        if wanted != self.state:
-            self._change = asyncio.get_running_loop().create_task(self._propose(wanted))
+        next_state = self._next_state(now)
+        if next_state != self.state:
+            self._change = asyncio.get_running_loop().create_task(self._propose(next_state))
 
-    async def _propose(self, wanted: DutyState) -> None:
-        """Where it is not agreed on, the next tick decides anew."""
-        await self._driver.propose(put(self._key, wanted.dump(), self._index))
+    async def _propose(self, next_state: DutyState) -> None:
+        """If the proposal fails, the next tick computes the state again."""
+        await self._driver.propose(put(self._key, next_state.dump(), self._index))
 
-    # What is to be in force
+    # The next state
 
-    def _wanted(self, now: float) -> DutyState:
+    def _next_state(self, now: float) -> DutyState:
         unix_ms = self._unix_ms()
         state = self._with_holder(now, unix_ms, self.state)
         state = self._with_sealed_windows(unix_ms, state)
@@ -133,7 +134,7 @@
         return Candidate(name, member.node, member.incarnation, is_able)
 
     def _with_sealed_windows(self, unix_ms: float, state: DutyState) -> DutyState:
-        """All that may be, in order; of more than are kept the newest."""
+        """Seals all windows that may be sealed, in order; the oldest are skipped if there are too many."""
         if not state.epoch:
             return state
         present = [one.incarnation for one in self._coordinator.members.values() if one.role == "store"]
@@ -147,18 +148,18 @@
         return state
 
     def _may_seal(self, window: int, unix_ms: float, present: list[str]) -> bool:
-        return self._ledger.may_seal(window, unix_ms, present, self._others_may_come(window))
+        return self._ledger.may_seal(window, unix_ms, present, self._absent_may_have_counted(window))
 
-    def _others_may_come(self, window: int) -> bool:
-        """Whether a store of the roster that is away may have counted in that window: it was a member after
-        the window began, or had not joined this lead yet."""
+    def _absent_may_have_counted(self, window: int) -> bool:
+        """Whether an absent store of the roster may have counted usage in that window: it was a member after
+        the window began, or has not joined this leader yet."""
         members, began_at = self._coordinator.members, self._ledger.begins_at(window)
         return any(
             name not in members and self._member_until.get(name, self._leads_since) >= began_at
             for name in self._coordinator.roster
         )
 
-    # What stores are told
+    # Notices to stores
 
     def _notice(self, sealed: dict[int, dict[str, int]]) -> DutyNotice:
         state = self.state
@@ -170,8 +171,8 @@
             return None
         return [self._notice(self.state.sealed if name == self.state.holder else {})]
 
-    def _tell(self, before: DutyState) -> None:
-        """All stores of a change of holder; of windows the holder alone."""
+    def _notify_stores(self, before: DutyState) -> None:
+        """Notifies all stores of a new holder, and the holder alone of new windows."""
         state = self.state
         if state.epoch != before.epoch:
             stores = [name for name, one in self._coordinator.members.items() if one.role == "store"]
@@ -200,7 +201,7 @@
         self._log_dropped(before)
 
     def _log_dropped(self, before: DutyState) -> None:
-        """With their counts where they were sealed: nothing else has them any more."""
+        """Logs dropped windows, with their counts if they were sealed: no other copy is left."""
         oldest = min(self.state.sealed, default=self.state.sealed_until + 1)
         if before.sealed_until and before.sealed_until + 1 < oldest:
             self._log.event("usage_dropped", first=before.sealed_until + 1, last=oldest - 1)
--- a/sableford/control/http_api.py
+++ b/sableford/control/http_api.py
@@ -1,7 +1,8 @@
-"""The calls of workers and operators, over HTTP: who answers them, and by what steps.
+"""The HTTP API for workers and operators.
 
-It reads a call, has it decided (`requests`, `order_process`, the coordinator), carries out what that asks of
-the control service, and writes the answer. Forms: PROTOCOL.md, "Which workers there are" and "The operator".
+It parses a call (`requests`), has it decided (`order_process`, the coordinator), carries out the effects in
+the control service, and writes the answer. PROTOCOL.md defines the calls ("Which workers there are", "The
+operator").
 """
 
 from collections.abc import Awaitable, Iterable
@@ -30,14 +31,14 @@
 from sableford.transport.call_tree import ANY, Tree
 from sableford.transport.http import Answer, Request
 
-CALLER_TIMEOUT_MS = 1000.0  # of silence, after which callers go to another control machine (PROTOCOL.md)
-MAJORITY_TIMEOUT_MS = 700.0  # some less than a caller waits, so that it is told
+CALLER_TIMEOUT_MS = 1000.0  # without an answer, after which callers try another control node (PROTOCOL.md)
+MAJORITY_TIMEOUT_MS = 700.0  # less than CALLER_TIMEOUT_MS, so that the caller still gets an answer
 ORDER_TIMEOUT_MS = 3000.0  # for one order: its caller has sent it again by then
 RETRY_AFTER = (("Retry-After", "1"),)
 
 
 class ControlPlane(Protocol):
-    """What the calls need of the control service; see `service.ControlService`."""
+    """What the API needs from the control service; see `service.ControlService`."""
 
     log: EventLog
     coordinator: Coordinator
@@ -76,7 +77,7 @@
 
 
 def worker_of(id: str, heartbeat: requests.Heartbeat) -> Worker:
-    """The entry of the list that a heartbeat makes."""
+    """The entry of the workers' list that a heartbeat describes."""
     return Worker(
         id,
         heartbeat.backend,
@@ -91,12 +92,12 @@
 
 
 def refusal(status: int, reason: str) -> Answer:
-    """An answer that says why; with 503 also when to come back."""
+    """An error answer with a reason; with 503 it also has a Retry-After header."""
     return Answer(status, orjson.dumps({"reason": reason}), RETRY_AFTER if status == 503 else ())
 
 
 class HttpApi:
-    """What `control_plane` serves at one machine."""
+    """The calls that one control node serves."""
 
     def __init__(self, control: ControlPlane) -> None:
         self._control = control
@@ -112,7 +113,7 @@
         )
 
     def handle(self, request: Request) -> Answer | Awaitable[Answer]:
-        """Answered here by the leader; elsewhere the caller is sent to it."""
+        """Answers a call if this process is the leader, else redirects the caller to the leader."""
         call, given = self._calls.find(request.method, request.path)
         if isinstance(call, int):
             return refusal(call, "no such call")
@@ -156,8 +157,8 @@
         return Answer(200, b"{}")
 
     async def _is_known_to_stores(self, update_number: int) -> bool:
-        """Whether all stores have applied it, and this process leads: one that woke from a freeze has nobody
-        to tell."""
+        """Whether all stores have applied the update and this process is still the leader. One that was
+        suspended may have lost its members meanwhile, so that there is no store to wait for."""
         control = self._control
         if not await control.applied(update_number, STORES, after_old_leases=True):
             return False
--- a/sableford/control/member_client.py
+++ b/sableford/control/member_client.py
@@ -1,11 +1,11 @@
-"""A member's side: it finds the leader, holds a lease there by renewing it, and applies the updates that come
-on its link.
+"""The member's side of membership: it finds the leader, keeps a lease by renewing it, and applies the updates
+that the leader sends.
 
-Who is behind gets a snapshot, then changes; a gap between two updates means joining anew. Within one
-incarnation neither a view nor a configuration goes back.
+A member that joins gets a snapshot, then changes; on a gap between two updates it joins again. Within one
+incarnation neither the view nor the configuration goes back.
 
-A member whose lease ran out may have lost its shards meanwhile. The lease that it is granted when it joins
-again is in force only once it has applied a view that this leader sent after that join (a fence).
+A member whose lease expired may have lost its shards meanwhile. When it joins again, its new lease comes into
+force only once it has applied a view that this leader sent after that join (a fence).
 """
 
 import asyncio
@@ -37,24 +37,24 @@
 from sableford.transport.messages import PeerRequest, PeerResponse
 
 FIND_INTERVAL_MS = 40.0  # between two attempts to find the leader
-MAX_HINTS = 4  # leaders remembered that others have named
-MAX_HOPS = 2  # hints followed at once: two members may each name the other as the leader of long ago
-ANSWER_TIMEOUT_MS = 400.0  # for the leader's answer; then it is looked for anew
+MAX_HINTS = 4  # leaders named by other processes that are remembered
+MAX_HOPS = 2  # hints followed without a pause: two members may each name the other, by outdated knowledge
+ANSWER_TIMEOUT_MS = 400.0  # for the leader's answer; then the member looks for a leader again
 
 ResponseType = TypeVar("ResponseType", bound=PeerResponse)
 
 
 def configuration_until(configuration_lease: float, apply_ms: float) -> float:
-    """Until when a member may act on the configuration that it has, so that none acts on an old one later
-    than `apply_ms` after the acknowledgement of a newer one. `configuration_lease`: of its `MemberClient`.
+    """Until when a member may act on its configuration, so that no member acts on an old one later than
+    `apply_ms` after the acknowledgement of a newer one. `configuration_lease`: that of its `MemberClient`.
 
-    That lease was granted in answer to a join or renewal sent LEASE_MS before its end, and the snapshot that
-    the leader sends after a join has been applied. No newer configuration had been sent on that link before
-    a renewal's answer, or this member would have applied it first, since the link keeps the order. The answer
-    to a join alone says nothing: its snapshot, with what is newer, comes after it. An earlier leader, which
-    does not know of a newer one, grants for QUORUM_FRESH_MS at most after the next one has won. So the newer
-    one was acknowledged no sooner than QUORUM_FRESH_MS before the renewal was sent. With an `apply_ms` under
-    LEASE_MS + QUORUM_FRESH_MS that is before the lease runs out.
+    That lease was granted in answer to a join or renewal sent LEASE_MS before its end, and the member has
+    applied the snapshot that follows a join. The link keeps messages in order: had a newer configuration been
+    sent before a renewal's answer, the member would have applied it first. The answer to a join alone proves
+    nothing, because its snapshot, with anything newer, comes after it. An earlier leader, which does not know
+    a newer configuration, grants leases for at most QUORUM_FRESH_MS after the next leader was elected. So the
+    newer one was acknowledged no sooner than QUORUM_FRESH_MS before the renewal was sent. With an `apply_ms`
+    under LEASE_MS + QUORUM_FRESH_MS the result is before the lease's end.
 
     >>> configuration_until(1000.0, 3000.0), configuration_until(1000.0, 900.0)
     (2700.0, 600.0)
@@ -63,11 +63,11 @@
 
 
 class MemberClient:
-    """`on_view(view)`, `on_config(configuration)`, `on_worker(id)`, with None for all workers,
-    `on_lease(until)` and `on_joined(response)` are called as updates come. Which processes to reach comes
-    from views and from the seeds.
+    """Calls `on_view(view)`, `on_config(configuration)`, `on_worker(id)` (None for all workers),
+    `on_lease(until)`, `on_duties(notices)` and `on_joined(response)` as updates arrive. The processes to
+    connect to come from views and from the seeds.
 
-    `status` gives what this process says of itself."""
+    `status` returns the status of this process that is reported to the leader."""
 
     def __init__(
         self,
@@ -82,12 +82,12 @@
         self.config: ConfigurationVersion | None = None
         self.worker_table = WorkerTable()
         self.lease = 0.0  # ms of the loop's clock: until when this process may act
-        self.configuration_lease = 0.0  # the end of the last lease that the configuration here goes with
-        self._granted_until = 0.0  # until when the leader counts it as a member: `lease`, once in force
-        self._lapsed = True  # the lease ran out before the last join
+        self.configuration_lease = 0.0  # the end of the last lease under which the configuration was current
+        self._granted_until = 0.0  # the end of the lease that the leader granted: `lease`, once in force
+        self._lapsed = True  # the lease expired before the last join
         self._join_sent_at, self._join_term = 0.0, 0
-        self._view_heard_at, self._view_term = -1.0, 0  # when a leader's view came last, and of which term
-        self._snapshot_heard_at, self._snapshot_term = -1.0, 0  # the same of its snapshot
+        self._view_received_at, self._view_term = -1.0, 0  # when the last view came, of which term
+        self._snapshot_received_at, self._snapshot_term = -1.0, 0  # the same for the last snapshot
         self.leader, self.term, self.update_number = "", 0, 0
         self.changed = asyncio.Event()  # set and replaced at each view
         self.on_view: list[Callable[[View], object]] = []
@@ -96,14 +96,14 @@
         self.on_lease: list[Callable[[float], object]] = []
         self.on_joined: list[Callable[[JoinResponse], object]] = []
         self.on_duties: list[Callable[[list[DutyNotice]], object]] = []
-        # What was counted here: all of it for a join, which is what the flag says, else what has changed.
+        # Usage counted here: all of it for a join (the flag is True), else what has changed.
         self.usage: Callable[[bool], UsageStatus] = lambda is_join: UsageStatus()
-        self.peers_on_disk: Callable[[], set[str]] = set  # others that the own disk knows of
-        self._hint = ""
-        self._hints: deque[str] = deque(maxlen=MAX_HINTS)  # leaders that were named; no seed may be one
+        self.peers_on_disk: Callable[[], set[str]] = set  # other processes that are named on this disk
+        self._hint = ""  # the leader that was named last, until it is asked
+        self._hints: deque[str] = deque(maxlen=MAX_HINTS)  # leaders that were named; they need not be seeds
         self._leader_link: Link | None = None
         self._loop = asyncio.get_running_loop()
-        self._turn = 0
+        self._next_index = 0
 
     def now(self) -> float:
         """ms of the loop's clock."""
@@ -119,7 +119,7 @@
         return self.now() < self.lease
 
     async def run(self) -> None:
-        """For the life of the process."""
+        """Runs as long as the process does."""
         self._update_peers()
         while True:
             await self.find_leader()
@@ -132,7 +132,7 @@
         self.links.set_peers({*self._seeds(), *known, *self.peers_on_disk()} - {""})
 
     async def find_leader(self) -> None:
-        """Until a leader has accepted this process as a member."""
+        """Asks one process after another until a leader accepts this one as a member."""
         hops = 0
         while True:
             self._update_peers()
@@ -150,18 +150,18 @@
                 await asyncio.sleep(FIND_INTERVAL_MS / 1000.0)
 
     def _next_candidate(self) -> str:
-        """The leader that was named last, else one after the other; none where nobody answers."""
+        """The leader that was named last, else each responsive process in turn; empty if there is none."""
         names = [name for name in self.links.names() if self.links.responsive_link(name)]
         if self._hint in names:
             hint, self._hint = self._hint, ""
             return hint
         if not names:
             return ""
-        self._turn += 1
-        return sorted(names)[self._turn % len(names)]
+        self._next_index += 1
+        return sorted(names)[self._next_index % len(names)]
 
     async def _join(self, name: str) -> JoinResponse | None:
-        """Asks one process; None where it did not answer."""
+        """Asks one process to join it; None if it did not answer."""
         link, sent_at = self.links.responsive_link(name), self.now()
         self._join_sent_at, self._join_term = sent_at, 0
         self._lapsed = self._lapsed or sent_at >= self.lease
@@ -192,7 +192,7 @@
     # The lease
 
     async def _renew_lease(self) -> None:
-        """Until the leader does not answer, or does not lead any more."""
+        """Renews the lease until the leader does not answer, or is no longer the leader."""
         while True:
             await asyncio.sleep(RENEW_MS / 1000.0)
             sent_at = self.now()
@@ -206,7 +206,8 @@
             self._extend_lease(sent_at)
 
     def _status_with_usage(self, is_join: bool) -> MemberStatus:
-        """Only in requests whose answer is looked at: what one did not take, the next join tells."""
+        """The status with usage counts. Only for requests whose answer is awaited: counts of a request that
+        failed are sent again with the next join."""
         usage = self.usage(is_join)
         return msgspec.structs.replace(self._status(), usage=usage.counts, usage_settled=usage.settled)
 
@@ -217,7 +218,7 @@
         return renewal
 
     def renew_now(self) -> None:
-        """Something of what this process says of itself has changed."""
+        """Reports a changed status to the leader at once."""
         if self._leader_link is not None and not self._leader_link.closed:
             future = self._leader_link.request(self._renewal(self._status()))
             future.add_done_callback(lambda done: done.exception())
@@ -227,12 +228,13 @@
         self._put_lease_in_force()
 
     def _put_lease_in_force(self) -> None:
-        """Unless what this process owned before its lease ran out may be another's by now."""
-        if self._lapsed and not self._is_of_joined_leader(self._view_heard_at, self._view_term):
+        """Puts the granted lease in force, unless it had expired before and this process's shards may have
+        another owner by now."""
+        if self._lapsed and not self._is_of_joined_leader(self._view_received_at, self._view_term):
             return
         self._lapsed = False
         configuration_lease = self.configuration_lease
-        if self._is_of_joined_leader(self._snapshot_heard_at, self._snapshot_term):
+        if self._is_of_joined_leader(self._snapshot_received_at, self._snapshot_term):
             configuration_lease = self._granted_until
         if self._granted_until <= self.lease and configuration_lease <= self.configuration_lease:
             return
@@ -240,9 +242,10 @@
         for notify in self.on_lease:
             notify(self.lease)
 
-    def _is_of_joined_leader(self, heard_at: float, term: int) -> bool:
-        """Whether what came then, of that term, is of the leader that was joined last, since that join."""
-        return 0 < self._join_term <= term and heard_at >= self._join_sent_at
+    def _is_of_joined_leader(self, received_at: float, term: int) -> bool:
+        """Whether something that was received then, in that term, came from the leader that was joined last
+        and after that join."""
+        return 0 < self._join_term <= term and received_at >= self._join_sent_at
 
     async def _call(self, link: Link | None, request: PeerRequest[ResponseType]) -> ResponseType | None:
         if link is None:
@@ -256,13 +259,13 @@
     # Updates
 
     def apply_update(self, link: Link, update: Update) -> None:
-        """On the link of the leader that this process has joined, or is joining."""
+        """Applies an update received on the link to the leader that this process has joined or is joining."""
         if not self._is_newer(update):
             return
         if not update.snapshot and (update.term, update.previous) != (self.term, self.update_number):
             self._log.event("news_gap", had=self.update_number, n=update.number, prev=update.previous)
             self.leader = ""
-            link.drop()  # joined anew, it gets a snapshot
+            link.drop()  # joining again brings a snapshot
             return
         self.term, self.update_number = update.term, update.number
         if update.config is not None:
@@ -271,7 +274,7 @@
             for notify in self.on_duties:
                 notify(update.duties)
         if update.snapshot:
-            self._snapshot_heard_at, self._snapshot_term = self.now(), update.term
+            self._snapshot_received_at, self._snapshot_term = self.now(), update.term
             self._put_lease_in_force()
         if update.view is not None:
             self._apply_view(update.view, update.term)
@@ -288,7 +291,7 @@
             return
         for notify in self.on_config:
             notify(config)
-        self.config = config  # only now: one that failed is applied again when its leader sends it anew
+        self.config = config  # only now: if a callback failed, it is applied again when it is sent again
 
     def _apply_view(self, view: View, term: int) -> None:
         if view.number > self.view.number:
@@ -298,7 +301,7 @@
                 notify(view)
             self.changed.set()
             self.changed = asyncio.Event()
-        self._view_heard_at, self._view_term = self.now(), term
+        self._view_received_at, self._view_term = self.now(), term
         self._put_lease_in_force()
 
     def _apply_workers(self, update: Update) -> None:
--- a/sableford/control/member_sessions.py
+++ b/sableford/control/member_sessions.py
@@ -1,5 +1,5 @@
-"""The members' side of the leader: who joins, renews and acknowledges, on which link updates go out, and
-who waits for an update to be applied.
+"""The leader's sessions with members: joins, renewals and acknowledgements, the links that updates go out on,
+and waits for an update to be applied.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 from sableford.control.roster_manager import RosterManager
 from sableford.transport.link import IncomingMessage, Link
 
-RENEW_RETRIES, RENEW_RETRY_MS = 5, 50.0  # a renewal waits while no majority has answered lately
+RENEW_RETRIES, RENEW_RETRY_MS = 5, 50.0  # a renewal is held while no majority has answered recently
 
 
 class MemberSessions:
-    """`leads` says whether this process leads, `leader` names who does as far as is known here, and `voters`
-    who votes."""
+    """`leads`: whether this process is the leader. `leader`: the leader as far as known here. `voters`: the
+    current voters."""
 
     def __init__(
         self,
@@ -42,14 +42,14 @@
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self._links: dict[str, Link] = {}
         self._waits: dict[int, asyncio.Future[bool]] = {}
-        self.on_status: list[Callable[[MemberStatus], object]] = []  # get what members say of themselves
+        self.on_status: list[Callable[[MemberStatus], object]] = []  # called with each status of a member
 
     def end_all(self) -> None:
-        """This process leads no more."""
+        """Ends all sessions: this process is no longer the leader."""
         self._links.clear()
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
-        """What the coordinator has decided."""
+        """Carries out the coordinator's effects."""
         for effect in effects:
             match effect:
                 case SendUpdate(member, update):
@@ -67,7 +67,8 @@
                     self._log.event(event, **fields)
 
     def handle_join(self, incoming: IncomingMessage[JoinRequest]) -> None:
-        """Accepted where this process leads, in a term that the member follows, with a majority behind it."""
+        """Accepts a join if this process is the leader, in a term that the member follows, and a majority has
+        answered recently."""
         coordinator, request = self._coordinator, incoming.message
         can_lead = self._leads() and request.least_term <= coordinator.term
         if not can_lead or not coordinator.majority_is_recent(self._now()):
@@ -79,10 +80,10 @@
         self.carry_out(coordinator.joined(self._now(), incoming.sender, request))
 
     def handle_renewal(self, incoming: IncomingMessage[RenewRequest], retries: int = RENEW_RETRIES) -> None:
-        """Accepted from a member that has joined on the same link."""
+        """Accepts a renewal of a member that has joined on the same link."""
         is_member = self._leads() and self._links.get(incoming.sender) is incoming.link
         if is_member and retries and not self._coordinator.majority_is_recent(self._now()):
-            # A lost packet between voters; its lease still runs, and it waits for an answer.
+            # A packet between voters may be lost. The member's lease is still valid, and it awaits an answer.
             self.loop.call_later(RENEW_RETRY_MS / 1000.0, self.handle_renewal, incoming, retries - 1)
             return
         request, sender = incoming.message, incoming.sender
@@ -102,7 +103,7 @@
             notify(status)
 
     def handle_acknowledgement(self, incoming: IncomingMessage[UpdateAcknowledgement]) -> None:
-        """A member has applied an update of this lead."""
+        """Takes the acknowledgement of an update of this leader's term."""
         is_member = self._leads() and self._links.get(incoming.sender) is incoming.link
         if is_member and incoming.message.term == self._coordinator.term:
             incarnation, number = incoming.link.incarnation, incoming.message.number
@@ -111,7 +112,8 @@
     async def wait_applied(
         self, update_number: int, roles: tuple[str, ...], after_old_leases: bool = False
     ) -> bool:
-        """Whether all present members of those roles have applied an update; it waits a bounded time."""
+        """Waits, with a time-out, until all present members of those roles have applied an update. Returns
+        whether they have."""
         future: asyncio.Future[bool] = self.loop.create_future()
         token, effects = self._coordinator.wait(self._now(), update_number, roles, after_old_leases)
         self._waits[token] = future
--- a/sableford/control/order_history.py
+++ b/sableford/control/order_history.py
@@ -1,9 +1,10 @@
-"""Which orders were taken: the line of versions, each with the mark of the order that made it. No I/O.
+"""The accepted orders: the sequence of versions, each with the digest of the order that made it. No I/O.
 
-Every version has one successor, so an order on a base is taken or can never be, once the base's successor is
-known. The newest versions stand in the record's value of the configuration, since they must change with it at
-once; older ones stand in segments, values of their own that are written once, so that a change does not write
-a thousand marks anew. Neighbouring segments share a version, by which a gap between them is seen.
+Every version has one successor. So once the successor of a base is known, an order on that base either was
+accepted or never can be. The newest versions are part of the record's value of the configuration, because
+they must change atomically with it. Older ones are in segments, values of their own that are written once,
+so that a change does not write a thousand digests again. Adjacent segments share a version, which shows
+whether there is a gap between them.
 """
 
 from collections.abc import Iterable
@@ -11,17 +12,17 @@
 
 import msgspec
 
-RECENT = 64  # versions in the configuration's value, some 3 kB; then the oldest make a segment
-RECENT_MAX = 4 * RECENT  # versions there at most: reached only where no segment could be written
-KEPT_MS = 86_400_000.0  # ms a segment is kept, a day: nobody sends an order again for so long
-KEPT_SEGMENTS = 256  # some 16,000 orders, 400 kB: a day of 1,100 orders fills 18
+RECENT = 64  # versions in the configuration's value, some 3 kB; then the oldest ones become a segment
+RECENT_MAX = 4 * RECENT  # upper limit, reached only if no segment could be written
+SEGMENT_RETENTION_MS = 86_400_000.0  # a day: no order is repeated after that long
+MAX_SEGMENTS = 256  # some 16,000 orders, 400 kB: a day of 1,100 orders fills 18
 PREFIX = "orders."  # of the record's keys for segments
 
 
 class Version(NamedTuple):
-    """A version that was in force, and the mark of the order that made it; no mark where that is unknown."""
+    """A version that was in force, and the digest of the order that made it; empty if that is unknown."""
 
-    mark: str
+    digest: str
     revision: int
 
 
@@ -29,7 +30,7 @@
 
 
 class Segment(msgspec.Struct, frozen=True):
-    """Versions that followed each other. `closed_at`: ms of the time of day at the leader that wrote it."""
+    """Consecutive versions. `closed_at`: the time of day, in ms, at the leader that wrote the segment."""
 
     versions: tuple[Version, ...]
     closed_at: float
@@ -47,24 +48,24 @@
 
 
 class Archive:
-    """The segments that stand in the record."""
+    """The segments in the record."""
 
     def __init__(self, segments: Iterable[Segment] = ()) -> None:
         self.segments = sorted(segments, key=lambda segment: segment.versions[0].revision)
         self._revisions = {
-            version.mark: version.revision for segment in self.segments for version in segment.versions
+            version.digest: version.revision for segment in self.segments for version in segment.versions
         }
 
-    def revision_of(self, mark: str) -> int | None:
-        return self._revisions.get(mark)
+    def revision_of(self, digest: str) -> int | None:
+        return self._revisions.get(digest)
 
-    def reach(self, revision: int) -> int:
+    def oldest_known(self, revision: int) -> int:
         """The oldest version from which on every successor is known, going back from `revision`.
 
-        >>> def made(*revisions):
-        ...     return Segment(tuple(Version(f"m{one}", one) for one in revisions), 0.0)
-        >>> archive = Archive([made(0, 2), made(3, 5), made(5, 9)])
-        >>> archive.reach(9), archive.reach(2), archive.reach(12)
+        >>> def segment(*revisions):
+        ...     return Segment(tuple(Version(f"d{one}", one) for one in revisions), 0.0)
+        >>> archive = Archive([segment(0, 2), segment(3, 5), segment(5, 9)])
+        >>> archive.oldest_known(9), archive.oldest_known(2), archive.oldest_known(12)
         (3, 0, 12)
         """
         for segment in reversed(self.segments):
@@ -76,23 +77,27 @@
         return {segment.versions[-1].revision for segment in self.segments}
 
     def expired(self, unix_ms: float) -> list[str]:
-        """Keys of segments that are kept no longer, the oldest first: the line stays whole behind them."""
+        """Keys of segments that have expired, the oldest first, so that the rest has no gap."""
         keys: list[str] = []
         for at, segment in enumerate(self.segments):
-            if segment.closed_at + KEPT_MS >= unix_ms and len(self.segments) - at <= KEPT_SEGMENTS:
+            if (
+                segment.closed_at + SEGMENT_RETENTION_MS >= unix_ms
+                and len(self.segments) - at <= MAX_SEGMENTS
+            ):
                 break
             keys.append(segment.key)
         return keys
 
 
 def closed_segment(recent: tuple[Version, ...], archive: Archive, unix_ms: float) -> Segment | None:
-    """What is to be written as a segment of its own, once there is enough of it."""
+    """The next segment to write, once there are enough recent versions."""
     recent = unarchived(recent, archive)
     return Segment(recent[:RECENT], unix_ms) if len(recent) > RECENT else None
 
 
 def unarchived(recent: tuple[Version, ...], archive: Archive) -> tuple[Version, ...]:
-    """Without what stands in segments; the last version of those stays, as the link between both."""
+    """The recent versions that are in no segment, and before them the last one of the newest segment, which
+    links the two."""
     ends = archive.ends()
     for at in range(len(recent) - 1, 0, -1):
         if recent[at].revision in ends:
--- a/sableford/control/order_process.py
+++ b/sableford/control/order_process.py
@@ -1,19 +1,19 @@
-"""The steps of one configuration order at the leader, from its call to its answer. No I/O.
+"""The steps of one configuration order at the leader, from the call to its answer. No I/O.
 
 step         input                                     next step, effect
-begun        -                                         asking a majority: AskMajority
+begin        -                                         asking a majority: AskMajority
 asking       no majority in time                       Respond 503, or 504 once something was proposed
-asking       a majority; Proposal decided              proposing: Propose
-asking       a majority; Confirmed decided             awaiting members: AwaitMembers
-asking       a majority; Refused, Undecided            Respond 400, 412; 504
+asking       a majority; decision Proposal             proposing: Propose
+asking       a majority; decision Confirmed            awaiting members: AwaitMembers
+asking       a majority; decision Refused, Undecided   Respond 400, 412; 504
 proposing    in force                                  awaiting members: AwaitMembers
-proposing    another came first                        asking a majority, and decided anew
-proposing    not known                                 Respond 504
-awaiting     all have applied it, or time has gone     Respond 200
+proposing    superseded by another change              asking a majority, then decided again
+proposing    unknown                                   Respond 504
+awaiting     all have applied it, or time-out          Respond 200
 
-Of orders under way at once the record takes one that was proposed on a version, and the others are decided
-anew on what it made. An order that comes first and its repeat get the same verdict, since one of them is in
-force and the other then finds its mark.
+Of concurrent orders on one version the record accepts one; the others are decided again on its result. An
+order and its concurrent repetition get the same answer: one of them comes into force, and the other then
+finds its digest.
 """
 
 from enum import Enum
@@ -24,7 +24,7 @@
 
 
 class ProposalOutcome(Enum):
-    """What came of a proposal."""
+    """The result of a proposal. Some values are sent as the reason of an HTTP answer."""
 
     IN_FORCE = "a majority has it"
     SUPERSEDED = "another change came first"
@@ -37,22 +37,24 @@
 
 
 class AskMajority(NamedTuple):
-    """Whether this process leads still, and what is agreed on by now."""
+    """Ask a majority whether this process is still the leader, and read the newest committed state."""
 
 
 class Propose(NamedTuple):
-    """In place of the configuration that was read last, or not at all."""
+    """Propose a state; it is accepted only if it replaces the one that was read last."""
 
     state: State
 
 
 class AwaitMembers(NamedTuple):
-    """Until present members have applied the configuration, for a bounded time."""
+    """Wait, with a time-out, until the present members have applied the configuration."""
 
     revision: int
 
 
 class Respond(NamedTuple):
+    """Answer the call."""
+
     status: int
     body: dict[str, Any]
 
@@ -64,7 +66,7 @@
 
 
 class OrderProcess:
-    """One order. Each method takes what the effect before came to, and gives the next effect."""
+    """One order. Each method takes the result of the previous effect, and returns the next effect."""
 
     def __init__(self, order: ConfigurationOrder) -> None:
         self._order = order
@@ -74,7 +76,7 @@
         return AskMajority()
 
     def majority_answered(self, state: State | None) -> Effect:
-        """`state`: what is agreed on now; none where no majority answered in time."""
+        """`state`: the newest committed one; None if no majority answered in time."""
         if state is None:
             return (
                 Respond(504, {"reason": UNKNOWN}) if self._proposed else Respond(503, {"reason": NO_MAJORITY})
--- a/sableford/control/record_driver.py
+++ b/sableford/control/record_driver.py
@@ -1,6 +1,6 @@
-"""Runs this machine's side of the replicated record: its messages, its disk, and the proposals made here.
+"""Runs this process's replica of the record: its messages, its disk, and the proposals made here.
 
-The record itself (`sableford.consensus`) decides without I/O; this module carries out what it asks for.
+The consensus code (`sableford.consensus`) does no I/O; this module carries out its effects.
 """
 
 import asyncio
@@ -22,17 +22,17 @@
 from sableford.transport.link import IncomingMessage, Link
 from sableford.transport.link_pool import LinkPool
 
-STARTUP_ANSWER_TIMEOUT_MS = 400.0  # a starting voter waits for all voters: one that runs answers in a few
+STARTUP_ANSWER_TIMEOUT_MS = 400.0  # for all voters to answer a starting one: a running one takes a few ms
 PROPOSAL_TIMEOUT_MS = 3000.0  # for a majority to agree on an entry; its caller asks again
-REWRITE_AFTER_S = 1.0  # a write that failed is tried again, all of it anew
-MAX_VALUE_BYTES = 1_048_576  # some of the largest configurations that a call may carry
+REWRITE_AFTER_S = 1.0  # after a failed write, until everything is written again
+MAX_VALUE_BYTES = 1_048_576  # smaller than the largest configuration that a request may carry
 
 _encode = msgspec.json.Encoder().encode
 _decode = msgspec.json.Decoder(raft_messages.RaftMessage).decode
 
 
 class ProposalResult(NamedTuple):
-    """What came of a proposal: whether it is in force, at which position of the log, and if not why."""
+    """The result of a proposal: whether it is in force, its position in the log, and if not, why."""
 
     accepted: bool
     position: int
@@ -40,8 +40,8 @@
 
 
 class RecordDriver:
-    """`on_applied` is called when what the record adds up to may have changed, `on_event` after everything
-    that may change who leads. Times are ms of `now`."""
+    """`on_applied` is called when the record's values may have changed, `on_event` after anything that may
+    change the leader. Times are ms of `now`."""
 
     def __init__(
         self,
@@ -60,10 +60,10 @@
         self._writer: RecordWriter | None = None
         self._incarnation = int.from_bytes(os.urandom(6), "little")
         self._proposals: dict[int, asyncio.Future[ProposalResult]] = {}
-        self._incoming_links: dict[str, Link] = {}  # on which others' messages of the record came
+        self._incoming_links: dict[str, Link] = {}  # by sender: the link of its last record message
 
     def start(self, storage: RecordStorage, seeds: Iterable[str]) -> RaftNode:
-        """Every store holds the record; who votes is agreed on in it, at first the seeds."""
+        """Every store holds a replica of the record. The voters are agreed on in it; at first the seeds."""
         self._writer = RecordWriter(storage, self._disk.write, self._stored)
         is_newcomer = not storage.names
         names = storage.names or sorted({*seeds} - {self._name})
@@ -83,11 +83,11 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this machine's side is the leader of its term."""
+        """Whether this replica is the leader of its term."""
         return self.record is not None and self.record.leads
 
     def leads_with_all_applied(self) -> bool:
-        """Whether it leads, and all that was agreed on before is in force here."""
+        """Whether it is the leader and has applied everything that was committed before."""
         record = self.record
         return (
             record is not None
@@ -97,26 +97,26 @@
         )
 
     def stable_voters(self) -> dict[str, str] | None:
-        """Who votes, by name with the id of each one's disk; None while that is changing."""
+        """The voters, by name with the id of each one's disk; None during a change of voters."""
         return self.record.stable_voters() if self.record is not None else None
 
     def next_tick_in_ms(self) -> float:
-        """Until the record wants its next tick."""
+        """The time until the record's next tick."""
         return self.record.due - self._now() if self.record is not None else float("inf")
 
     def tick(self) -> None:
-        """What is due."""
+        """Runs the record's timers that are due."""
         if self.record is not None and self._now() >= self.record.due:
             self.carry_out(self.record.tick(self._now()))
 
     def link_up(self) -> None:
-        """A link to another process is open: what waits for its answer asks now."""
+        """A link to another process is open: requests that wait for its answer are sent now."""
         if self.record is not None:
             self.record.met(self._now())
             self.tick()
 
     def handle_message(self, incoming: IncomingMessage[RecordMessage]) -> None:
-        """A message of another machine's side."""
+        """Takes a message of another replica."""
         if self.record is None:
             return
         try:
@@ -132,8 +132,8 @@
     async def propose(
         self, data: bytes | None, timeout_ms: float = PROPOSAL_TIMEOUT_MS
     ) -> ProposalResult | None:
-        """Proposes an entry, or with no data asks a majority to confirm what is in force. None where it is
-        not known what came of it."""
+        """Proposes an entry or, with no data, asks a majority to confirm the current state. None if the
+        result is not known."""
         assert self.record is not None, "not started"
         number, effects = self.record.propose(self._now(), data)
         future = self._proposals[number] = self._loop.create_future()
@@ -149,7 +149,7 @@
             self._proposals.pop(number, None)
 
     def carry_out(self, effects: Iterable[raft_effects.Effect]) -> None:
-        """What the record asks for, in its order."""
+        """Carries out the record's effects, in order."""
         for effect in effects:
             match effect:
                 case raft_effects.Send(to, message):
@@ -167,7 +167,7 @@
                     self._log.event(event, **fields)
 
     def _send(self, to: str, message: raft_messages.RaftMessage) -> None:
-        # A store that lost its disk knows of few others, and answers whoever asks.
+        # A store that lost its disk knows few others; it answers on the link that a message came on.
         link = self._links.link(to) or self._incoming_links.get(to)
         if link is not None:
             link.send(RecordMessage(self._name, self._incarnation), _encode(message))
--- a/sableford/control/record_storage.py
+++ b/sableford/control/record_storage.py
@@ -1,8 +1,8 @@
-"""The record on disk: its entries, snapshot and votes as keys of the machine's one lmdb file.
+"""The replicated record on disk: its entries, snapshot and votes as keys of the process's one LMDB file.
 
-A write is one commit, whole or not at all, but one that fails may be followed by others that succeed. So
-what stands in the file is known for sure only of writes whose success was told (`kept`); whatever else may
-stand there is removed by the next whole writing, and is never read back as part of the log.
+Each write is one atomic commit, but one that fails may be followed by others that succeed. So the file's
+content is known only for writes that were reported to have succeeded (`kept`). Anything else that may be in
+the file is removed by the next full rewrite, and is never read back as part of the log.
 """
 
 import os
@@ -27,7 +27,7 @@
     first: int = 1
     before: int = 0
     lost: tuple[int, int] | None = None
-    names: tuple[str, ...] = ()  # who voted first
+    names: tuple[str, ...] = ()  # the initial voters
 
 
 def _entry_key(index: int) -> bytes:
@@ -35,7 +35,7 @@
 
 
 class RecordStorage:
-    """Turns what the record wants stored into writes; it knows which entries the file may hold."""
+    """Turns storage effects of the record into writes, and tracks which entries the file may hold."""
 
     def __init__(self, found: Iterable[tuple[bytes, bytes]]) -> None:
         self._meta = _Meta(os.urandom(8).hex())
@@ -50,39 +50,40 @@
             elif key.startswith(ENTRY):
                 entries[int.from_bytes(key[2:], "big")] = msgspec.msgpack.decode(value, type=Entry)
         self._write_number = 0
-        self._in_file = dict.fromkeys(entries, 0)  # entries that may be: by index, the write that put it
-        self._removals: deque[tuple[int, list[int]]] = deque()  # by write, until it is known to be done
+        # By index of each entry that the file may hold: the number of the write that put it there.
+        self._in_file = dict.fromkeys(entries, 0)
+        self._removals: deque[tuple[int, list[int]]] = deque()  # by write, until known to have succeeded
         self.held = self._read(image, entries)
-        self._spoilt = len(self.held.entries) < len(entries) or self.held.lost != self._meta.lost
+        self._needs_cleanup = len(self.held.entries) < len(entries) or self.held.lost != self._meta.lost
 
     def _read(self, image: Snapshot | None, entries: dict[int, Entry]) -> StoredState:
-        """The log as far as it goes without a gap. What stands behind one counts as lost."""
+        """Reads the log up to its first gap. Entries after a gap count as lost."""
         meta, lost = self._meta, self._meta.lost
-        kept: list[Entry] = []
-        while (entry := entries.get(meta.first + len(kept))) is not None:
-            kept.append(entry)
-        behind = [index for index in entries if index >= meta.first + len(kept)]
-        if behind:
-            term = max(meta.term, *(entries[index].term for index in behind))
-            lost = max(lost or (0, 0), (term, max(behind)))
-        return StoredState(meta.id, meta.term, meta.vote, image, meta.first, meta.before, tuple(kept), lost)
+        log: list[Entry] = []
+        while (entry := entries.get(meta.first + len(log))) is not None:
+            log.append(entry)
+        after_gap = [index for index in entries if index >= meta.first + len(log)]
+        if after_gap:
+            term = max(meta.term, *(entries[index].term for index in after_gap))
+            lost = max(lost or (0, 0), (term, max(after_gap)))
+        return StoredState(meta.id, meta.term, meta.vote, image, meta.first, meta.before, tuple(log), lost)
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Who voted first, as the first start of this folder was told."""
+        """The initial voters, as given when this data folder was first started."""
         return self._meta.names
 
     def begin(self, names: Iterable[str]) -> Puts:
-        """What a new folder begins with."""
+        """The first write to a new data folder."""
         self._meta.names = tuple(names)
         return [(META, msgspec.msgpack.encode(self._meta))]
 
-    def puts(self, deeds: Iterable[object], number: int = 0) -> Puts:
-        """The write that stores them, and its number for `kept`; numbers grow."""
+    def puts(self, writes: Iterable[object], number: int = 0) -> Puts:
+        """Turns the record's storage effects into one write. `number` rises; `kept` takes it later."""
         self._write_number = number
-        out = self._repair()
-        for deed in deeds:
-            match deed:
+        out = self._cleanup()
+        for write in writes:
+            match write:
                 case HardState(term, vote):
                     self._meta.term, self._meta.vote = term, vote
                     out.append((META, msgspec.msgpack.encode(self._meta)))
@@ -98,11 +99,11 @@
                     out += [self._add(at, one) for at, one in enumerate(entries, first)]
         return out
 
-    def _repair(self) -> Puts:
-        """Before the first write: out with what was read as no part of the log."""
-        if not self._spoilt:
+    def _cleanup(self) -> Puts:
+        """Before the first write: removes the entries that were read but are not part of the log."""
+        if not self._needs_cleanup:
             return []
-        self._spoilt, held, meta = False, self.held, self._meta
+        self._needs_cleanup, held, meta = False, self.held, self._meta
         meta.lost = held.lost
         log = range(held.first, held.first + len(held.entries))
         stray = self._remove([at for at in self._in_file if at not in log])
@@ -113,12 +114,12 @@
         return _entry_key(index), msgspec.msgpack.encode(entry)
 
     def _remove(self, indexes: list[int]) -> Puts:
-        """They may still be in the file until this write is known to be done."""
+        """Removes entries; they may still be in the file until this write is known to have succeeded."""
         self._removals.append((self._write_number, indexes))
         return [(_entry_key(at), None) for at in sorted(indexes)]
 
     def kept(self, number: int) -> None:
-        """The write of that number is on disk; one before it, of which this was not said, may have failed."""
+        """The write of that number is on disk. An earlier one that was not confirmed may have failed."""
         while self._removals and self._removals[0][0] <= number:
             write, indexes = self._removals.popleft()
             if write == number:
@@ -128,8 +129,9 @@
 
 
 class RecordWriter:
-    """One write of the record under way; what comes meanwhile goes with the next. After one that failed only
-    a whole writing is taken: others would stand in the file without what came before them."""
+    """Writes the record's storage effects, one write at a time; effects that arrive meanwhile are batched
+    into the next one. After a failed write only a full rewrite is accepted: anything else would be in the
+    file without what precedes it."""
 
     def __init__(
         self,
@@ -137,32 +139,33 @@
         write: Callable[[Puts], "Future[bool]"],
         done: Callable[[int, BaseException | None], None],
     ) -> None:
-        """`done` is told the last number of each write, and what went wrong."""
+        """`done` is called with the last number of each write, and with the exception if it failed."""
         self._storage, self._write, self._done = storage, write, done
-        self._waiting: list[Persist] = []
-        self._under_way = self._broken = False
+        self._pending: list[Persist] = []
+        self._in_flight = self._has_failed = False
 
-    def keep(self, store: Persist) -> None:
-        if self._broken and not any(isinstance(deed, ReplaceLog) for deed in store.writes):
+    def keep(self, effect: Persist) -> None:
+        """Queues an effect and writes it as soon as the write in flight has ended."""
+        if self._has_failed and not any(isinstance(write, ReplaceLog) for write in effect.writes):
             return
-        self._waiting.append(store)
-        self._next()
+        self._pending.append(effect)
+        self._write_pending()
 
-    def _next(self) -> None:
-        if self._under_way or not self._waiting:
+    def _write_pending(self) -> None:
+        if self._in_flight or not self._pending:
             return
-        number = self._waiting[-1].number
-        deeds = [deed for store in self._waiting for deed in store.writes]
-        self._waiting, self._under_way = [], True
-        self._write(self._storage.puts(deeds, number)).add_done_callback(
-            lambda future: self._ended(number, future.exception())
+        number = self._pending[-1].number
+        writes = [write for effect in self._pending for write in effect.writes]
+        self._pending, self._in_flight = [], True
+        self._write(self._storage.puts(writes, number)).add_done_callback(
+            lambda future: self._write_ended(number, future.exception())
         )
 
-    def _ended(self, number: int, problem: BaseException | None) -> None:
-        self._under_way, self._broken = False, problem is not None
+    def _write_ended(self, number: int, problem: BaseException | None) -> None:
+        self._in_flight, self._has_failed = False, problem is not None
         if problem is None:
             self._storage.kept(number)
         else:
-            self._waiting = []
+            self._pending = []
         self._done(number, problem)
-        self._next()
+        self._write_pending()
--- a/sableford/control/requests.py
+++ b/sableford/control/requests.py
@@ -1,7 +1,7 @@
-"""What workers and operators send, read and checked. No I/O.
+"""Parses and validates the requests of workers and operators. No I/O.
 
-Each call's path, headers and body come to one typed request or to InvalidRequestError, whose one line names
-the field. The forms are those of PROTOCOL.md ("Which workers there are", "The operator").
+Each call's path, headers and body give one typed request, or InvalidRequestError with one line that names the
+field. PROTOCOL.md defines the formats ("Which workers there are", "The operator").
 """
 
 import math
@@ -14,19 +14,19 @@
 
 from sableford.control.configuration import MAX_PORT, MAX_REVISION, InvalidRequestError, check_depth
 
-# Into a delivery's head goes the worker's id, so it may hold nothing that could end a header's line.
+# The worker's id is sent in a header of deliveries, so it must not contain anything that ends a header line.
 IDENTIFIER = re.compile(r"[!-~]{1,128}")
 HOST = re.compile(r"[0-9A-Za-z._-]{1,253}|\[[0-9A-Fa-f:.]{2,45}\]")
-DIGITS = re.compile(r"[0-9]{1,20}")  # as many as the largest 64-bit number has: earlier versions took it
-MAX_COUNT = 2**63 - 1  # of a worker's calls: what every process can hold as a 64-bit number
-MAX_CAPACITY = 1_000_000  # messages at once: far above any worker's, and far below what sums could not bear
-MAX_COLD_MS = 1e9  # ms, some twelve days: how long a worker may say that it stays slow
+DIGITS = re.compile(r"[0-9]{1,20}")  # as many as the largest 64-bit number has: earlier versions accepted it
+MAX_COUNT = 2**63 - 1  # of a worker's calls: fits a signed 64-bit number everywhere
+MAX_CAPACITY = 1_000_000  # concurrent messages: far above any worker's, and sums of it can't overflow
+MAX_COLD_MS = 1e9  # some twelve days: the longest slow start that a worker may announce
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
 
 class Phase(Enum):
-    """What a worker says of itself. It never goes back from draining within one life."""
+    """The phase that a worker reports. Within one incarnation it never goes back from draining to ready."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -59,7 +59,7 @@
 
 
 class ConfigurationOrder(NamedTuple):
-    """An operator's order as it came. `base`: the version that it builds on."""
+    """An operator's order as received. `base`: the version that it is based on."""
 
     kind: OrderKind
     base: int
@@ -100,7 +100,7 @@
 
 
 def retirement(body: bytes) -> Retirement:
-    """An empty body names no time."""
+    """The body of an order to empty a store; an empty one gives no time. Raises InvalidRequestError."""
     given = _decoded(body, Retirement) if body.strip() else Retirement()
     if given.within_s is not None and not math.isfinite(given.within_s):
         raise InvalidRequestError("withinS: a number is wanted")
@@ -108,7 +108,8 @@
 
 
 def configuration_order(kind: OrderKind, bases: list[str], body: bytes) -> ConfigurationOrder:
-    """`bases`: the values of all headers Base-Version."""
+    """The order of a configuration call. `bases`: the values of all Base-Version headers. Raises
+    InvalidRequestError."""
     try:
         given = orjson.loads(body)
     except orjson.JSONDecodeError as problem:
--- a/sableford/control/retirement.py
+++ b/sableford/control/retirement.py
@@ -1,4 +1,4 @@
-"""Whether a store may be emptied, and how far that is. No I/O.
+"""Whether a store may be retired, that is emptied and removed, and how far that has got. No I/O.
 
 node                                    stores left          answer
 being emptied                           -                    200 rolling
@@ -6,7 +6,7 @@
 no store of the roster has its name     -                    404
 a store of the roster                   too few              409
 a store of the roster                   not yet known        503
-a store of the roster                   enough               begin, then 200 rolling
+a store of the roster                   enough               retirement begins, 200 rolling
 """
 
 from collections.abc import Iterable
@@ -18,14 +18,14 @@
 
 
 class Phase(Enum):
-    """As the operator reads it."""
+    """The phase of a retirement, as answered to the operator."""
 
     ROLLING = "rolling"
     COMPLETE = "complete"
 
 
 class RetirementRefusedError(Exception):
-    """With the status and the reason that the operator is answered."""
+    """A refused retirement, with the HTTP status and reason for the operator."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -33,19 +33,20 @@
 
 
 def phase_of(roster: Roster, node: str, hosts: dict[str, str]) -> Phase | None:
-    """`hosts`: the hosts of live stores by their nodes' names."""
+    """The phase of a node's retirement; None if it is not being retired. `hosts`: the hosts of live stores by
+    node name."""
     if node in roster.retiring:
         return Phase.ROLLING
     if node not in roster.retired:
         return None
-    # Another machine of that name may have come since: what was said of the first is not true of it.
+    # Another machine may have taken that name since; the retirement of the first says nothing about it.
     host = hosts.get(node, roster.retired[node])
     return None if host != roster.retired[node] and host in roster.stores else Phase.COMPLETE
 
 
 def may_complete(roster: Roster, host: str, stores: Iterable[Candidate], tolerance: Tolerance) -> bool:
-    """Whether enough others serve for a store that is to be emptied to go: one of those that were to stay may
-    have been lost since. True of a store that is not being emptied."""
+    """Whether enough other stores serve for a store that is being emptied to be removed: one of those that
+    were to stay may have been lost since. True for a store that is not being emptied."""
     going = roster.retiring.values()
     if host not in going:
         return True
@@ -56,7 +57,7 @@
 def begin_retirement(
     roster: Roster, node: str, hosts: dict[str, str], stores: Iterable[Candidate], tolerance: Tolerance
 ) -> Roster:
-    """The roster with `node` being emptied; the same one where it is or was. `stores`: as the leader sees
+    """The roster with `node` being emptied; unchanged if it already is or was. `stores`: as the leader sees
     them. Raises RetirementRefusedError."""
     if phase_of(roster, node, hosts) is not None:
         return roster
--- a/sableford/control/roster.py
+++ b/sableford/control/roster.py
@@ -1,7 +1,7 @@
-"""The roster: which stores may hold messages that count, which are being emptied, which have been. No I/O.
+"""The roster: the stores whose replicas count, those being emptied, and those that have been retired. No I/O.
 
-It stands in the record as one value, changed with compare-and-set. Each change is a function of the roster it
-is made on, so that it is decided anew, on what is in force by then, each time that another change came first.
+It is one value in the record, changed by compare-and-set. Each change is a function of the roster, so that it
+can be applied again to the roster in force whenever another change came first.
 """
 
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class Roster(msgspec.Struct, frozen=True):
-    """`stores` are inner hosts; `retiring` and `retired` map a node's name to its host."""
+    """`stores` are internal host addresses; `retiring` and `retired` map a node's name to its host."""
 
     stores: tuple[str, ...] = ()
     retiring: dict[str, str] = {}
@@ -26,7 +26,7 @@
         return msgspec.json.decode(text, type=cls)
 
     def with_stores(self, names: Iterable[str]) -> "Roster":
-        """Newcomers enter.
+        """The roster with these stores added.
 
         >>> Roster(("b",)).with_stores(["a", "b"]).stores
         ('a', 'b')
@@ -34,7 +34,7 @@
         return msgspec.structs.replace(self, stores=tuple(sorted({*self.stores, *names})))
 
     def without(self, name: str) -> "Roster":
-        """A store is struck off; the node that was being emptied there is done.
+        """The roster with a store removed; if its node was being emptied, it is retired now.
 
         >>> Roster(("a", "b"), {"node-a": "a"}).without("a")
         Roster(stores=('b',), retiring={}, retired={'node-a': 'a'})
@@ -47,14 +47,14 @@
         )
 
     def with_retiring(self, node: str, host: str) -> "Roster":
-        """A node is to be emptied. One of that name that was retired before was another machine."""
+        """The roster with a node being emptied. A retired node of the same name was another machine."""
         earlier = {name: at for name, at in self.retired.items() if name != node}
         return Roster(self.stores, self.retiring | {node: host}, earlier)
 
 
 class Outcome(Enum):
-    """What came of a change of the roster."""
+    """The result of a change of the roster."""
 
-    IN_FORCE = "agreed on, or there was nothing to change"
-    UNCLEAR = "offered, and not known whether it is agreed on"
-    NOT_LEADING = "not offered: another process leads"
+    IN_FORCE = "committed, or there was nothing to change"
+    UNCLEAR = "proposed, and not known whether it is committed"
+    NOT_LEADING = "not proposed: another process is the leader"
--- a/sableford/control/roster_manager.py
+++ b/sableford/control/roster_manager.py
@@ -1,5 +1,5 @@
-"""Changes of the roster, each agreed on in the record: stores that come, that are done without, that an
-operator wants emptied.
+"""Changes of the roster, each agreed on in the record: stores that are added, removed, or to be emptied on an
+operator's order.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 from sableford.control.voter_selection import Tolerance
 
 ROSTER_KEY = "roster"  # of the record's values
-REMOVE_RETRY_MS = 100.0  # before a store that still votes is looked at again
-CHANGE_RETRY_MS = 20.0  # before a change that another one preceded is tried again
+REMOVE_RETRY_MS = 100.0  # before the removal of a store that can't be removed yet is tried again
+CHANGE_RETRY_MS = 20.0  # before a change that was not applied is tried again
 
 
 class RosterManager:
-    """`leads` says whether this process leads; `on_changed` is called when another roster is in force."""
+    """`leads`: whether this process is the leader; `on_changed` is called when a new roster is in force."""
 
     def __init__(
         self,
@@ -41,24 +41,24 @@
         self.roster = Roster()
         self._index = 0  # of the record's entry that set it
         self._change_lock = asyncio.Lock()
-        self._newcomers: set[str] = set()  # stores that are to be added, all with one change
+        self._newcomers: set[str] = set()  # stores to be added, all with one change
         self._tasks: set[asyncio.Task[None]] = set()
 
     def apply(self, values: dict[str, Any]) -> None:
-        """What the record's values are now."""
+        """Takes the record's current values."""
         value = values.get(ROSTER_KEY)
         if value is not None and value.index != self._index:
             self._index, self.roster = value.index, Roster.load(value.data)
             self._on_changed()
 
     def add_store(self, name: str) -> None:
-        """The store is to be added; those that come meanwhile enter with the same change."""
+        """Adds a store; stores that are added meanwhile go into the same change."""
         if not self._newcomers:
             self._spawn(self._add_newcomers())
         self._newcomers.add(name)
 
     def remove_store(self, name: str) -> None:
-        """The store is to be removed, once it votes no more."""
+        """Removes a store once it is no longer a voter."""
         self._spawn(self._remove_store(name))
 
     def _spawn(self, work: Any) -> None:
@@ -67,8 +67,9 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _change(self, change: Callable[[Roster], Roster]) -> Outcome:
-        """`change` is decided on the roster in force when its turn comes, and anew if another came first."""
-        # One at a time: nineteen at once, each after the same index, came to hundreds of entries in vain.
+        """`change` is applied to the roster in force when its turn comes, and again if another change came
+        first."""
+        # One at a time: nineteen at once, all based on the same index, produced hundreds of failed entries.
         async with self._change_lock:
             while self._leads():
                 wanted, index = change(self.roster), self._index
@@ -82,7 +83,7 @@
         return Outcome.NOT_LEADING
 
     async def _add_newcomers(self) -> None:
-        """Whoever has come until it is this change's turn."""
+        """Adds all stores that have come by the time that this change has its turn."""
         names: set[str] = set()
 
         def change(roster: Roster) -> Roster:
@@ -92,13 +93,13 @@
 
         await self._change(change)
         if not self._leads():
-            self._newcomers.clear()  # whoever leads next asks for them
+            self._newcomers.clear()  # the next leader asks for them again
         for name in names:
             self._coordinator.roster_change_ended(name)
         self._on_changed()
 
     async def _remove_store(self, name: str) -> None:
-        """One that was to be emptied is, once it votes no more either."""
+        """Removes a store, and completes its retirement if it was being emptied, once it is not a voter."""
         must_wait = is_removed = False
 
         def change(roster: Roster) -> Roster:
@@ -121,7 +122,7 @@
         self._on_changed()
 
     def _is_voter(self, name: str) -> bool:
-        """Whether it votes, is to, or nobody can say."""
+        """Whether it is a voter, is to become one, or that is not known."""
         voters = self._driver.stable_voters()
         record = self._driver.record
         return voters is None or record is None or name in {*voters, *record.wanted}
@@ -132,22 +133,23 @@
     # Retirement
 
     async def retire(self, node: str) -> Outcome:
-        """A store is to be emptied: it keeps nothing that counts, owns nothing, votes no more. Raises
+        """Starts to empty a store: its replicas no longer count, and it loses its shards and its vote. Raises
         RetirementRefusedError."""
 
         def change(roster: Roster) -> Roster:
-            # Decided at its turn: of two at once the second counts the first as gone.
+            # Decided when the change has its turn: the second of two concurrent ones counts the first's store
+            # as gone.
             present = self._voters.candidates(self._now())
             return begin_retirement(roster, node, self._hosts(), present, self._tolerance)
 
         return await self._change(change)
 
     def retirement_phase(self, node: str) -> Phase | None:
-        """How far the retirement of a node is; None where it is not being emptied."""
+        """The phase of a node's retirement; None if it is not being retired."""
         return phase_of(self.roster, node, self._hosts())
 
     def _hosts(self) -> dict[str, str]:
-        """Of live stores by their nodes' names; one that stays before one that leaves."""
+        """Hosts of live stores by node name; of two of one name, one that is not leaving takes precedence."""
         live_stores = self._coordinator.view.live_stores
         ranked = sorted(live_stores, key=lambda name: (not live_stores[name].leaving, name))
         return {live_stores[name].node: name for name in ranked}
--- a/sableford/control/service.py
+++ b/sableford/control/service.py
@@ -1,16 +1,17 @@
-"""The control plane at one machine with a disk: its side of the record and, while it leads, the coordinator.
+"""The control plane in one process with a disk: its replica of the record and, while it is the leader, the
+coordinator.
 
-It owns the parts and who leads; each part has a module of its own. What this machine can't settle itself is
-passed on to the leader.
+It owns the parts and the leadership; each part has a module of its own. HTTP calls that only the leader can
+answer are redirected to it.
 
     part                    owns
-    `record_driver`         this machine's side of the record, proposals
+    `record_driver`         this process's replica of the record, proposals
     `configuration_keeper`  the configuration in force, proposals
     `roster_manager`        the roster, its changes
-    `voter_manager`         who is to vote
-    `duty_manager`          the duties at the platform, where the settings name one
+    `voter_manager`         the selection of voters
+    `duty_manager`          the duties towards the platform, where the settings name one
     `member_sessions`       the links of members, waits for updates
-    `coordinator`           members under leases, whose each shard is, the list of workers
+    `coordinator`           members under leases, shard ownership, the list of workers
     `http_api`              the calls of workers and operators
 """
 
@@ -57,12 +58,12 @@
 from sableford.transport.link_pool import LinkPool
 from sableford.transport.peer_server import PeerServer
 
-TICK_MS = 40.0  # between two looks at leases
-MIN_TICK_MS = 5.0  # the record may want to be looked at sooner, but not more often
+TICK_MS = 40.0  # longest interval between two checks of leases
+MIN_TICK_MS = 5.0  # shortest interval, where the record's next tick is due sooner
 
 
 class Host(Protocol):
-    """What the control plane needs of its process."""
+    """What the control plane needs from its process."""
 
     @property
     def me(self) -> str: ...
@@ -81,7 +82,7 @@
 
 
 class ControlService:
-    """`start` once the disk is open."""
+    """Call `start` once the disk is open."""
 
     def __init__(self, host: Host, disk: Disk) -> None:
         self._host, self.me, self.links, self.log = host, host.me, host.links, host.log
@@ -90,11 +91,17 @@
         tolerance = Tolerance(tolerates.machine_loss, tolerates.zones, tolerates.region_loss)
         patience = patience_ms(settings.rule_bounds.sync_s)
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
-        self._is_leader = False  # with all that was agreed on before in force here
+        self._is_leader = False  # and has applied everything that was committed before
         self.coordinator = Coordinator(settings.heartbeat_ms, patience)
         self.coordinator.majority_is_recent = self._majority_is_recent
         self.driver = RecordDriver(
-            self.me, self.links, disk, self.log, lambda: self.now(), self._record_applied, self._watch_lead
+            self.me,
+            self.links,
+            disk,
+            self.log,
+            lambda: self.now(),
+            self._record_applied,
+            self._update_leadership,
         )
         self._configuration = ConfigurationKeeper(
             self.driver, lambda: self.unix_ms(), self._configuration_changed
@@ -159,82 +166,82 @@
         return self.loop.time() * 1000.0
 
     def unix_ms(self) -> float:
-        """The time of day; it tells only how long ago something was."""
+        """The time of day; it is used only for how long ago something was."""
         return time.time() * 1000.0
 
     def register(self, server: PeerServer) -> None:
-        """What other processes ask of the control plane is answered here from now on."""
+        """Registers the control plane's handlers for messages of other processes."""
         server.handle(JoinRequest, self.sessions.handle_join)
         server.handle(RenewRequest, self.sessions.handle_renewal)
         server.handle(UpdateAcknowledgement, self.sessions.handle_acknowledgement)
         server.handle(RecordMessage, self.driver.handle_message)
 
     def start(self, storage: RecordStorage) -> None:
-        """Takes part in the record from now on."""
+        """Starts this process's replica of the record, and the ticks."""
         record = self.driver.start(storage, self._host.settings.seeds)
         self._apply_values()
-        # After a loss of power the seeds may name none of those who vote.
+        # After a power failure the seeds may name none of the current voters.
         self._host.member.peers_on_disk = lambda: {*record.voters(), *self.roster.stores}
         self.loop.call_soon(self.tick)
 
     @property
     def record(self) -> RaftNode:
-        """This machine's side of the record, once started."""
+        """This process's replica of the record, once started."""
         assert self.driver.record is not None, "not started"
         return self.driver.record
 
     @property
     def state(self) -> orders.State:
-        """The configuration in force, as far as is known here."""
+        """The configuration in force, as far as known here."""
         return self._configuration.state
 
     @property
     def roster(self) -> Roster:
-        """The roster in force, as far as is known here."""
+        """The roster in force, as far as known here."""
         return self._roster_manager.roster
 
     @property
     def duty_state(self) -> DutyState:
-        """Who has the duty of usage reports, as far as is known here."""
+        """The state of the duty of usage reports, as far as known here."""
         return self._duty_manager.state if self._duty_manager is not None else DutyState()
 
     def stable_voters(self) -> dict[str, str] | None:
-        """Who votes, by name with the id of each one's disk; None while that is changing."""
+        """The voters, by name with the id of each one's disk; None during a change of voters."""
         return self.driver.stable_voters()
 
     # Time
 
     def tick(self) -> None:
-        """What is due, and the next tick."""
+        """Runs everything that is due, and schedules the next tick."""
         now = self.now()
         if self.driver.record is not None:
             self.driver.tick()
-            self._watch_lead()
+            self._update_leadership()
             self._voter_manager.update(now, self.leads)
-            self._watch_lead()
+            self._update_leadership()
         self.carry_out(self.coordinator.tick(now))
         if self._duty_manager is not None:
             self._duty_manager.tick()
         next_ms = min(TICK_MS, max(MIN_TICK_MS, self.driver.next_tick_in_ms()))
         self.loop.call_later(next_ms / 1000.0, self.tick)
 
-    # Who leads
+    # Leadership
 
     @property
     def leads(self) -> bool:
-        """Whether this process leads, with all that was agreed on before in force here."""
+        """Whether this process is the leader and has applied everything that was committed before."""
         return self._is_leader and self.driver.leads
 
     def leads_with_majority(self) -> bool:
-        """Whether it leads, and no other can have taken the lead long ago."""
+        """Whether it is the leader, and a majority has confirmed that recently."""
         return self.leads and self.coordinator.majority_is_recent(self.now())
 
     def _majority_is_recent(self, now: float) -> bool:
         record = self.driver.record
         return record is not None and record.fresh(now, QUORUM_FRESH_MS)
 
-    def _watch_lead(self) -> None:
-        """Begins or ends this process's lead as the record says."""
+    def _update_leadership(self) -> None:
+        """Begins or ends this process's leadership, following the record."""
         now, record = self.now(), self.driver.record
         if record is None:
             return
@@ -251,19 +258,19 @@
             self.end_lead()
 
     def end_lead(self) -> None:
-        """This process leads no more."""
+        """Ends this process's leadership."""
         self._is_leader = False
         self.carry_out(self.coordinator.step_down())
         self.sessions.end_all()
 
     def _other_leader(self) -> str:
-        """Who leads as far as is known here, if that is another process."""
+        """The leader as far as known here, if that is another process; else empty."""
         record = self.driver.record
         leader = record.leader if record is not None else self._host.member.leader
         return leader if leader != self.me else ""
 
     def joined_leader(self, response: JoinResponse) -> None:
-        """This process has joined a leader, who says who votes."""
+        """This process has joined a leader, which names the voters."""
         voters, record = response.voters, self.record
         if voters is not None and self.me in record.voters() and voters.get(self.me) != record.id:
             self.driver.carry_out(record.outvoted(self.now()))
@@ -276,14 +283,14 @@
             self.driver.record.over(self.now(), name)
             self.carry_out(self.coordinator.process_ended(self.now(), name))
 
-    # What is in force
+    # State in force
 
     def _record_applied(self) -> None:
         self._apply_values()
         self._voter_manager.voters_changed(self.now(), self.leads)
 
     def _apply_values(self) -> None:
-        """What the record adds up to now."""
+        """Passes the record's current values to the parts."""
         values = self.record.state_machine.values
         self._configuration.apply(values)
         self._roster_manager.apply(values)
@@ -299,23 +306,23 @@
         self.carry_out(self.coordinator.roster_changed(self.now(), list(roster.stores), retiring, retired))
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
-        """What the coordinator has decided."""
+        """Carries out the coordinator's effects."""
         self.sessions.carry_out(effects)
 
     # For the calls of workers and operators
 
     def handle(self, request: Request) -> Answer | Awaitable[Answer]:
-        """A call over HTTP."""
+        """Handles an HTTP call."""
         return self._http_api.handle(request)
 
     def own_address(self) -> str:
-        """Where callers reach this machine; empty where no leader has told its stores yet."""
+        """The address of this process's HTTP API; empty if it is in no view that it knows."""
         store = self._host.member.view.live_stores.get(self.me)
         return store.control if store is not None else ""
 
     def leader_address(self) -> str:
-        """Where callers reach the leader; empty where none is known, or where it has not been heard of late:
-        one that this machine is cut off from may be the leader no more."""
+        """The address of the leader's HTTP API; empty if no leader is known, or if the known one has not
+        responded recently and may have been replaced."""
         record = self.driver.record
         leader = self._host.member.leader or (record.leader if record is not None else "")
         if leader == self.me or self.links.responsive_link(leader) is None:
@@ -324,35 +331,37 @@
         return store.control if store is not None else ""
 
     async def majority(self, timeout_ms: float) -> bool:
-        """Whether a majority, asked from now on, takes this process for up to date: then it knows all that
-        was agreed on before the question."""
+        """Asks a majority whether this process is up to date. If so, it knows everything that was committed
+        before the call."""
         result = await self.driver.propose(None, timeout_ms)
         self._apply_values()
         return result is not None and result.accepted
 
     async def propose(self, state: orders.State, timeout_ms: float) -> ProposalOutcome:
-        """The configuration, in place of the one that it was decided on."""
+        """Proposes a configuration, to replace the one that it was derived from."""
         return await self._configuration.propose(state, timeout_ms)
 
     async def applied(
         self, update_number: int, roles: tuple[str, ...], after_old_leases: bool = False
     ) -> bool:
-        """Whether all present members of those roles have applied an update; it waits a bounded time."""
+        """Waits, with a time-out, until all present members of those roles have applied an update. Returns
+        whether they have."""
         return await self.sessions.wait_applied(update_number, roles, after_old_leases)
 
     async def configuration_applied(self) -> bool:
-        """Whether all present members have applied the newest configuration; it waits a bounded time."""
+        """Waits, with a time-out, until all present members have applied the newest configuration. Returns
+        whether they have."""
         return self.leads and await self.applied(self.coordinator.update_number, ALL_ROLES)
 
     async def confirms_roster(self) -> bool:
-        """Whether a majority confirms what is in force, within the time of a proposal."""
+        """Whether a majority confirms the current state within a proposal's time-out."""
         result = await self.driver.propose(None)
         return result is not None and result.accepted
 
     async def retire(self, node: str) -> Outcome:
-        """A store is to be emptied. Raises RetirementRefusedError."""
+        """Starts to empty a store. Raises RetirementRefusedError."""
         return await self._roster_manager.retire(node)
 
     def retirement_phase(self, node: str) -> Phase | None:
-        """How far the retirement of a node is; None where it is not being emptied."""
+        """The phase of a node's retirement; None if it is not being retired."""
         return self._roster_manager.retirement_phase(node)
--- a/sableford/control/voter_manager.py
+++ b/sableford/control/voter_manager.py
@@ -1,4 +1,4 @@
-"""Which stores vote on the record: the leader works towards a selection, one change at a time."""
+"""Manages the record's voters: the leader works towards a selection, one change at a time."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -12,8 +12,8 @@
 
 
 class VoterManager:
-    """`roster` gives the roster in force, `live_stores` those of the newest view that was heard, `regions`
-    the region of each zone."""
+    """`roster` returns the roster in force, `live_stores` those of the newest view received, `regions` the
+    region of each zone."""
 
     def __init__(
         self,
@@ -31,17 +31,17 @@
         self._roster, self._live_stores, self._regions, self._log = roster, live_stores, regions, log
         self._presence = PresenceTracker(patience_ms)
         self._selection: Selection | None = None
-        self._selected_from: dict[str, str] = {}  # the voters that it was made on
-        self._zones: dict[str, str] = {}  # of each store as it was last heard of
-        self._leaving_since = 0.0  # ms: since when this process leaves while it leads
-        self.excluded = ""  # the store that is being removed from the roster: it is not voted in
+        self._selected_from: dict[str, str] = {}  # the voters that the selection is based on
+        self._zones: dict[str, str] = {}  # the last known zone of each store
+        self._leaving_since = 0.0  # since when this process has been leader and leaving
+        self.excluded = ""  # the store that is being removed from the roster: it must not become a voter
 
     def become_leader(self, now: float) -> None:
-        """This process leads from now on."""
+        """This process becomes leader."""
         self._presence.begin(now)
 
     def update(self, now: float, leads: bool) -> None:
-        """What the record is to work towards; it changes one voter at a time."""
+        """Sets the voters that the record is to work towards; it changes one voter at a time."""
         record = self._driver.record
         if record is None:
             return
@@ -49,7 +49,7 @@
         record.around = tuple(self._live_stores())
         self._zones |= {name: store.zone for name, store in live_stores.items()}
         if not leads:
-            # A leader begins with who votes; what it wanted when it last led, or the seeds, may be long past.
+            # A leader begins with the current voters: its selection from an earlier term may be out of date.
             record.wanted = tuple(record.voters())
             self._leaving_since = now
             self._presence.observe(now, live_stores, {*self._roster().stores, *record.voters()})
@@ -59,8 +59,8 @@
             self._select(now, voters)
 
     def voters_changed(self, now: float, leads: bool) -> None:
-        """What was wanted was decided on other voters: acted on now, two changes could undo each other for
-        ever."""
+        """Selects again after a change of voters: the old selection is based on other voters, and acting on
+        it could make two changes undo each other for ever."""
         voters = self._driver.stable_voters()
         if leads and voters is not None and voters != self._selected_from:
             self.update(now, leads)
@@ -75,23 +75,23 @@
         if selection != self._selection:
             self._selection = selection
             self._log.event("voters_wanted", **selection._asdict())
-        # A leader that leaves leads on until its seat is filled; whoever follows takes it out.
+        # A leader that is leaving stays leader until its replacement votes; its successor removes its vote.
         wanted = set(selection.voters)
         is_replaced = self._name in voters and self._name not in wanted and wanted <= set(voters)
         if self._is_to_resign(now) and is_replaced:
             self._driver.carry_out(record.resign(now))
 
     def _is_to_resign(self, now: float) -> bool:
-        """Whether this leader is to resign once its seat is filled. One that leaves only after a while: most
-        end sooner, and their port tells others at once."""
+        """Whether this leader is to resign once its replacement votes. If it is leaving, it does so only
+        after a while: most exit sooner, and others notice at once that the port refuses connections."""
         member = self._coordinator.members.get(self._name)
         if member is None or not member.leaving:
             self._leaving_since = now
-            return True  # it is emptied, or others stand where the loss of a zone is borne
+            return True  # it is being emptied, or other voters tolerate the loss of a zone better
         return self._name in self._coordinator.retiring or now - self._leaving_since >= RESIGN_AFTER
 
     def candidates(self, now: float, voters: Iterable[str] = ()) -> list[Candidate]:
-        """Every store that votes or stands in the roster, as it is now."""
+        """All stores that vote or are in the roster, in their current state."""
         return [self._candidate(now, name) for name in sorted({*voters, *self._roster().stores})]
 
     def _candidate(self, now: float, name: str) -> Candidate:
--- a/sableford/control/voter_selection.py
+++ b/sableford/control/voter_selection.py
@@ -1,16 +1,16 @@
-"""Who should vote in the record: a function of who votes now and of the stores that are there. No I/O.
-
-    who votes now                                 a store that may take the seat    wanted
-    serving, unheard or absent for a short time   -                                 it keeps its seat
-    leaving, retiring or gone                     yes                               the other store
-    leaving, retiring or gone                     no                                it keeps its seat
-    gone or leaving                               one that is being emptied         that one, meanwhile
-    more than are needed, one of them on its way  -                                 the others
+"""Selects the voters of the record, from the current voters and the state of the stores. No I/O.
+
+    current voter                                 available replacement             selected
+    serving, unheard or absent for a short time   -                                 it keeps its vote
+    leaving, retiring or gone                     yes                               the replacement
+    leaving, retiring or gone                     no                                it keeps its vote
+    gone or leaving                               one that is being emptied         that one, for the time
+    more than needed, one of them not staying     -                                 the others
     an even number above the need, one absent     -                                 the others
 
-The record carries it out one voter at a time: who comes is added once it has caught up, then who goes is
-taken out. A seat is thus never given up before it is filled, and the number of voters never falls below what
-the settings ask for unless there are fewer stores.
+The record applies the selection one voter at a time: a new voter is added once it has caught up, and then the
+old one is removed. So no vote is removed before it is replaced, and the number of voters never falls below
+what the settings require unless there are fewer stores.
 """
 
 from collections import Counter
@@ -23,7 +23,8 @@
 
 
 class Tolerance(msgspec.Struct, frozen=True):
-    """What may be lost at once, each for itself, with a majority left (`tolerates` of the settings)."""
+    """The number of machines, zones or regions whose simultaneous loss must leave a majority, each taken by
+    itself (`tolerates` of the settings)."""
 
     machines: int = 0
     zones: int = 0
@@ -31,7 +32,7 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A store that votes or may: what the leader knows of it."""
+    """A store that is or may become a voter, as known to the leader."""
 
     name: str
     zone: str = ""
@@ -41,7 +42,8 @@
 
 
 class Selection(NamedTuple):
-    """`voters` is what the record is to work towards; the rest says which losses leave a majority of them."""
+    """`voters`: those that the record is to work towards. `bears_*`: whether the losses of that kind that
+    must be tolerated leave a majority of them."""
 
     voters: tuple[str, ...]
     bears_machines: bool
@@ -49,12 +51,12 @@
     bears_regions: bool
 
 
-# Who gives its seat up first where there are too few others: who is gone before who still serves.
-GIVES_UP = (Presence.GONE, Presence.LEAVING, Presence.RETIRING)
+# The order in which voters are replaced where too few stores are available: first those that serve no more.
+REPLACED_FIRST = (Presence.GONE, Presence.LEAVING, Presence.RETIRING)
 
 
 def select_voters(voters: Iterable[str], stores: Iterable[Candidate], tolerance: Tolerance) -> Selection:
-    """`voters`: who votes now, as agreed; `stores`: all that are known, voters among them.
+    """`voters`: the current voters, as agreed; `stores`: all known stores, including the voters.
 
     >>> stores = [Candidate(name) for name in "abc"] + [Candidate("d", presence=Presence.LEAVING)]
     >>> select_voters("abd", stores, Tolerance(1)).voters
@@ -74,20 +76,20 @@
     wanted = _without_needless(keeping, seats)
     wanted = _filled(wanted, spare, seats, tolerance)
     wanted = _balanced(_without_crowded(wanted, seats, tolerance), spare, tolerance)
-    # Nobody is there to take these seats: they stay with those who have them, or go to one that is being
+    # No store is available for the remaining votes: they stay where they are, or go to a store that is being
     # emptied rather than to one that is gone.
     last = outgoing + [
         store for store in known.values() if store.name not in names and store.presence is Presence.RETIRING
     ]
-    last.sort(key=lambda store: (GIVES_UP.index(store.presence), store.name in names, store.name))
+    last.sort(key=lambda store: (REPLACED_FIRST.index(store.presence), store.name in names, store.name))
     while len(wanted) < seats and last:
         wanted.append(last.pop())
-    return Selection(tuple(sorted(store.name for store in wanted)), *_borne(wanted, tolerance))
+    return Selection(tuple(sorted(store.name for store in wanted)), *_tolerated(wanted, tolerance))
 
 
 def seats_needed(stores: list[Candidate], tolerance: Tolerance) -> int:
-    """How many must vote: the least odd number of which a majority outlives each loss that is to be borne; if
-    these stores can't be placed so, as many as the loss of machines takes.
+    """The number of voters: the smallest odd one of which a majority survives each loss to be tolerated. If
+    no placement on these stores achieves that, as many as the loss of machines requires.
 
     >>> stores = [Candidate(f"{zone}{at}", zone) for zone in "pqr" for at in range(3)]
     >>> seats_needed(stores, Tolerance(2)), seats_needed(stores, Tolerance(0, 1))
@@ -97,19 +99,19 @@
     if not (tolerance.zones or tolerance.regions):
         return least
     for seats in range(least, len(stores) + 1, 2):
-        if all(_borne(_filled([], stores, seats, tolerance), tolerance)):
+        if all(_tolerated(_filled([], stores, seats, tolerance), tolerance)):
             return seats
     return least
 
 
 def bearable(stores: list[Candidate], tolerance: Tolerance) -> bool:
-    """Whether voters can be placed on these stores so that all that is to be borne leaves a majority."""
+    """Whether voters can be placed on these stores so that all losses to be tolerated leave a majority."""
     seats = seats_needed(stores, tolerance)
-    return len(stores) >= seats and all(_borne(_filled([], stores, seats, tolerance), tolerance))
+    return len(stores) >= seats and all(_tolerated(_filled([], stores, seats, tolerance), tolerance))
 
 
 def _without_needless(keeping: list[Candidate], seats: int) -> list[Candidate]:
-    """Of an even number of voters above the need one that is away only makes the majority larger."""
+    """Drops one absent voter of an even number above the need: it only makes the majority larger."""
     absent = [store for store in keeping if store.presence is Presence.ABSENT]
     if not absent or len(keeping) <= seats or len(keeping) % 2:
         return list(keeping)
@@ -117,17 +119,17 @@
 
 
 def _without_crowded(wanted: list[Candidate], seats: int, tolerance: Tolerance) -> list[Candidate]:
-    """Of more voters than are needed one too many in a place, where the others then bear its loss."""
-    if len(wanted) <= seats or all(_borne(wanted, tolerance)):
+    """Drops one voter of a crowded place, if more than needed vote and the rest then tolerate all losses."""
+    if len(wanted) <= seats or all(_tolerated(wanted, tolerance)):
         return wanted
     fewer = [[store for store in wanted if store is not out] for out in wanted]
-    return next((one for one in fewer if all(_borne(one, tolerance))), wanted)
+    return next((one for one in fewer if all(_tolerated(one, tolerance))), wanted)
 
 
 def _filled(
     wanted: list[Candidate], spare: list[Candidate], seats: int, tolerance: Tolerance
 ) -> list[Candidate]:
-    """With further stores up to that number, each from where the fewest vote so far."""
+    """Adds stores up to that number, each from the region and zone with the fewest voters so far."""
     wanted, rest = list(wanted), [store for store in spare if store not in wanted]
     while len(wanted) < seats and rest:
         zones = Counter(store.zone for store in wanted)
@@ -142,8 +144,8 @@
 
 
 def _balanced(wanted: list[Candidate], spare: list[Candidate], tolerance: Tolerance) -> list[Candidate]:
-    """With stores exchanged as long as fewer voters can then be lost with zones and regions."""
-    if all(_borne(wanted, tolerance)):
+    """Swaps stores as long as that lowers the number of voters lost with zones and regions."""
+    if all(_tolerated(wanted, tolerance)):
         return wanted
     wanted, rest = list(wanted), [store for store in spare if store not in wanted]
     while True:
@@ -165,8 +167,8 @@
         rest.remove(into)
 
 
-def _borne(voters: list[Candidate], tolerance: Tolerance) -> tuple[bool, bool, bool]:
-    """Whether a majority is left after the loss of machines, of zones, of regions."""
+def _tolerated(voters: list[Candidate], tolerance: Tolerance) -> tuple[bool, bool, bool]:
+    """Whether a majority is left after the loss of machines, of zones and of regions."""
     lost = (
         tolerance.machines,
         _largest(voters, tolerance.zones, lambda store: store.zone),
@@ -182,6 +184,6 @@
 
 
 def _largest(voters: list[Candidate], places: int, place_of: Callable[[Candidate], str]) -> int:
-    """Of how many voters the fullest of so many places have."""
+    """The number of voters in the places with most voters, of which there are `places`."""
     counts = Counter(place_of(store) for store in voters)
     return sum(count for _, count in counts.most_common(places))
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -237,7 +237,7 @@
 
     async def propose(self: DutyManager, wanted: DutyState) -> None:
         before, self.state = self.state, wanted
-        self._tell(before)
+        self._notify_stores(before)
         self.state = before
         await original(self, wanted)
 
--- a/tests/control_orders.py
+++ b/tests/control_orders.py
@@ -180,7 +180,7 @@
         value = control.record.state_machine.values["config"].data
         assert len(value) < 50 * order_history.RECENT * 2, len(value)  # not all marks with each change
         # A day later nobody sends them again, and what is kept stays bounded.
-        control.unix_ms = lambda: 2 * order_history.KEPT_MS
+        control.unix_ms = lambda: 2 * order_history.SEGMENT_RETENTION_MS
         for revision in range(301, 450):
             assert await _replace(control, clock, revision - 1, config(revision)) == 200
         assert await _replace(control, clock, 0, config(1)) == 504
--- a/tests/duties.py
+++ b/tests/duties.py
@@ -490,7 +490,7 @@
 def told_at_once(original: Callable) -> Callable:
     async def propose(self: DutyManager, wanted: DutyState) -> None:
         before, self.state = self.state, wanted
-        self._tell(before)
+        self._notify_stores(before)
         await original(self, wanted)
 
     return propose
