--- a/sableford/edge/__init__.py
+++ b/sableford/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The edge: takes messages in from clients and answers what they ask of them."""
+"""The edge: accepts messages from clients and answers their queries about messages."""
--- a/sableford/edge/authentication.py
+++ b/sableford/edge/authentication.py
@@ -1,12 +1,12 @@
-"""Whose request it is, by the key in its Authorization header. No I/O.
+"""Authentication of requests by the API key in the Authorization header. No I/O.
 
 | route | key | tenant |
 | --- | --- | --- |
-| any, the configuration names no tenants | not looked at | none |
-| not public | known | the key's |
-| not public | none, another scheme, unknown | UnauthorizedError |
-| public | known | the key's |
-| public | none, another scheme, unknown | none |
+| any, and the configuration defines no tenants | ignored | none |
+| not public | known | the key's owner |
+| not public | missing, unknown or of another scheme | UnauthorizedError |
+| public | known | the key's owner |
+| public | missing, unknown or of another scheme | none |
 """
 
 import re
@@ -20,11 +20,13 @@
 
 
 class UnauthorizedError(Exception):
-    """A request that needs a key and has none that the configuration knows. It never names the key."""
+    """The request needs a key and has none that the configuration knows. The error never contains the key."""
 
 
 def authenticate(request: Request, route: Route, table: Table) -> str:
-    """The tenant that sends a message to `route`; NO_TENANT where it needs none. Raises UnauthorizedError."""
+    """Returns the tenant that sends a message to `route`, or NO_TENANT if none is needed.
+
+    Raises UnauthorizedError."""
     if not table.has_tenants:
         return NO_TENANT
     tenant = _tenant_of(request, table)
@@ -36,7 +38,7 @@
 
 
 def authenticate_reader(request: Request, table: Table) -> str:
-    """The tenant that asks for what belongs to one. Raises UnauthorizedError."""
+    """Returns the tenant that reads tenant data. Raises UnauthorizedError."""
     tenant = _tenant_of(request, table)
     if tenant is None:
         raise UnauthorizedError
--- a/sableford/edge/message_fields.py
+++ b/sableford/edge/message_fields.py
@@ -1,4 +1,4 @@
-"""What a client's request says of its message, read strictly: no field may have two readings. No I/O."""
+"""Parsing of the HTTP fields that describe a message. Ambiguous fields are rejected. No I/O."""
 
 import re
 from typing import NamedTuple
@@ -6,10 +6,11 @@
 from sableford.transport.http import Request
 from sableford.transport.routes import Route
 
-# Digits of ASCII, with a fraction or a small exponent as programs print them: no sign, "inf", "nan" or "1_0".
+# ASCII digits with an optional fraction and a small exponent, as programs print numbers. `float` alone would
+# also accept a sign, "inf", "nan" and "1_0".
 NUMBER = re.compile(r"[0-9]{1,10}(\.[0-9]{0,20})?([eE][+-]?[0-9]{1,2})?")
-MAX_MS = 1e9  # eleven days: longer than anything is kept
-AT_MOST_ONCE = (
+MAX_MS = 1e9  # eleven days, longer than any retention
+SINGLE_VALUED = (
     b"host",
     b"attempt-id",
     b"order-key",
@@ -21,31 +22,31 @@
 
 
 class FieldError(ValueError):
-    """A request that can't be taken for what it says in a field; the text names it."""
+    """A field of the request is missing, ambiguous or invalid; the text names it."""
 
 
 class MessageFields(NamedTuple):
-    """What a client says of its message, beside the message."""
+    """The metadata that a client sends with its message."""
 
     id: str
     host: str
-    key: str  # empty where its route keeps no order, or it names none
+    key: str  # empty if the route is not ordered, or the client sent none
     content_type: str
     delay_ms: float
-    patience_ms: float  # how long its client waits for the answer
-    tenant: str = ""  # whose key it sent; empty where none was wanted
-    unordered_key: str = ""  # that it names though its route keeps no order
+    client_deadline_ms: float  # how long the client waits for the response
+    tenant: str = ""  # the owner of the API key; empty if none was needed
+    unordered_key: str = ""  # the order key of a message whose route is not ordered
 
 
 def check_single_fields(request: Request) -> None:
-    """Raises FieldError for a field that is given more than once and has one reading only."""
-    for name in AT_MOST_ONCE:
+    """Raises FieldError if a single-valued field is given more than once."""
+    for name in SINGLE_VALUED:
         if request.count(name) > 1:
             raise FieldError(f"{name.decode().title()} is given more than once")
 
 
 def host_of(request: Request) -> str:
-    """The request's host. Raises FieldError."""
+    """Returns the Host of the request. Raises FieldError."""
     check_single_fields(request)
     host = request.get(b"host")
     if not host:
@@ -54,7 +55,7 @@
 
 
 def fields_of(request: Request, route: Route, tenant: str = "") -> MessageFields:
-    """All fields of a message that a tenant sends. Raises FieldError."""
+    """Parses the fields of a message that a tenant sends. Raises FieldError."""
     id = request.get(b"attempt-id")
     if not id:
         raise FieldError("an Attempt-Id is wanted")
@@ -71,15 +72,15 @@
     )
 
 
-def milliseconds(request: Request, name: bytes, otherwise: float) -> float:
-    """The number in a field; `otherwise` where there is none. Raises FieldError.
+def milliseconds(request: Request, name: bytes, default: float) -> float:
+    """Parses a number of milliseconds; returns `default` if the field is missing. Raises FieldError.
 
     >>> milliseconds(Request("POST", b"/", [(b"delay-ms", b"1500.5")], b"", True), b"delay-ms", 0.0)
     1500.5
     """
     text = (request.get(name) or "").strip(" \t")
     if not text:
-        return otherwise
+        return default
     value = float(text) if NUMBER.fullmatch(text) else MAX_MS
     if value >= MAX_MS:
         raise FieldError(f"{name.decode().title()} is not a number of ms: {text!r}")
--- a/sableford/edge/message_queries.py
+++ b/sableford/edge/message_queries.py
@@ -1,7 +1,7 @@
-"""What clients ask of messages that were accepted: their states and their bytes.
+"""Client queries about accepted messages: their states and their bodies.
 
-A message of a tenant is shown to a key of that tenant only. Whose it is stands in its reference, so that this
-is decided before any store is asked.
+A tenant's message is shown only to a key of that tenant. The message reference contains a tag of the tenant,
+so access is checked before any store is asked.
 """
 
 import asyncio
@@ -15,22 +15,23 @@
 from sableford.edge.message_fields import FieldError, check_single_fields
 from sableford.edge.message_status import StoreResponse, final_response
 from sableford.edge.responses import refused, unauthorized
-from sableford.edge.retry_wait import wait_for
+from sableford.edge.retry_wait import wait_for_event
 from sableford.node.runtime import Runtime
 from sableford.store.protocol import BodyRequest, StatusRequest, StatusResponse
 from sableford.transport.http import Answer, Request
 from sableford.transport.link import Link
 from sableford.transport.routes import Table
 
-RETRY_MS = 50.0  # between two attempts to ask for a message
-STORE_TIMEOUT_MS = 500.0  # for one store to say what it knows of a message
-STATUS_TIMEOUT_MS = 1700.0  # those who ask for a state wait two seconds
+RETRY_MS = 50.0  # between two rounds of requests to the stores
+STORE_TIMEOUT_MS = 500.0  # for the response of one store
+STATUS_TIMEOUT_MS = 1700.0  # clients wait two seconds for a state
 STATUS_PATH, BODY_PATH = "/v1/message/", "/v1/message-body/"
 NO_MESSAGE = Answer(404, b'{"reason":"no such message"}')
 
 
 class MessageQueries:
-    """`table` is that of the configuration in force, which may be acted on while `knows_configuration`."""
+    """Answers queries. `table` belongs to the current configuration, and is used only while
+    `knows_configuration()` holds."""
 
     def __init__(self, runtime: Runtime, knows_configuration: Callable[[], bool]) -> None:
         self._runtime, self._links, self._member = runtime, runtime.links, runtime.member
@@ -38,17 +39,17 @@
         self.table = Table()
 
     def handle(self, request: Request) -> Answer | Awaitable[Answer] | None:
-        """The answer to a question; None where the request is none."""
+        """The response to a query, or None if the request is not a query."""
         if request.method != "GET":
             return None
-        for path, answer in ((STATUS_PATH, self._state), (BODY_PATH, self._bytes)):
+        for path, answer in ((STATUS_PATH, self._get_state), (BODY_PATH, self._get_body)):
             if request.path.startswith(path):
                 ref = request.path.removeprefix(path)
-                return self._refusal_of(request, ref) or answer(ref)
+                return self._access_denied(request, ref) or answer(ref)
         return None
 
-    def _refusal_of(self, request: Request, ref: str) -> Answer | None:
-        """Why the message may not be shown; None where it may."""
+    def _access_denied(self, request: Request, ref: str) -> Answer | None:
+        """The response that denies access to the message, or None if access is allowed."""
         tag = tag_in(ref)
         if not tag:
             return None
@@ -63,34 +64,34 @@
             return unauthorized()
         return None if tenant_tag(tenant) == tag else NO_MESSAGE
 
-    async def _state(self, ref: str) -> Answer:
+    async def _get_state(self, ref: str) -> Answer:
         shard, until = shard_in(ref), self._runtime.now() + STATUS_TIMEOUT_MS
         if shard is None:
             return NO_MESSAGE
         while self._runtime.now() < until:
             changed = self._member.changed
-            found = await self._ask_for_state(shard, ref)
+            found = await self._query_state(shard, ref)
             if found is not None and found.state is not None:
                 return Answer(200, msgspec.json.encode(found.state))
             if found is not None:
                 return NO_MESSAGE
-            await wait_for(changed, RETRY_MS)
+            await wait_for_event(changed, RETRY_MS)
         return refused("its store can't be asked now")
 
-    async def _ask_for_state(self, shard: int, ref: str) -> StatusResponse | None:
-        """The owner's response; where it has none, what the others' responses come to."""
-        owner, *others = self._sources(shard)
-        of_owner = await self._status_of(owner, ref)
-        heard = [] if of_owner is None else [of_owner]
-        owner_response = of_owner.response if of_owner is not None else None
-        if (found := final_response(heard, owner_response, self._sufficient())) is not None:
+    async def _query_state(self, shard: int, ref: str) -> StatusResponse | None:
+        """The response of the owner or, if that is not conclusive, the result of all stores' responses."""
+        owner, *others = self._stores_to_ask(shard)
+        from_owner = await self._query_store(owner, ref)
+        responses = [] if from_owner is None else [from_owner]
+        owner_response = from_owner.response if from_owner is not None else None
+        if (found := final_response(responses, owner_response, self._sufficient_count())) is not None:
             return found
-        further = await asyncio.gather(*(self._status_of(name, ref) for name in others))
-        heard += [one for one in further if one is not None]
-        return final_response(heard, owner_response, self._sufficient())
+        other_responses = await asyncio.gather(*(self._query_store(name, ref) for name in others))
+        responses += [one for one in other_responses if one is not None]
+        return final_response(responses, owner_response, self._sufficient_count())
 
-    async def _status_of(self, name: str, ref: str) -> StoreResponse | None:
-        """None where the store did not answer, or spoke of another message."""
+    async def _query_store(self, name: str, ref: str) -> StoreResponse | None:
+        """None if the store did not answer, or answered for another message."""
         link = self._links.responsive_link(name)
         if link is None:
             return None
@@ -100,19 +101,19 @@
         return StoreResponse(response, self._is_complete(name, link))
 
     def _is_complete(self, name: str, link: Link) -> bool:
-        """Whether the store at the other end holds all that it ever said to hold: what it does not know of
-        says nothing otherwise. A process that the view does not show yet may have lost its disk."""
+        """Whether the peer still has everything that it ever acknowledged. Otherwise a message that it does
+        not know may still exist. A process that is not in the view yet may have lost its disk."""
         store = self._member.view.live_stores.get(name)
         return store is not None and store.complete and store.incarnation == link.incarnation
 
-    async def _bytes(self, ref: str) -> Answer:
-        """From the owner or any other store: a message's bytes are the same wherever they are."""
+    async def _get_body(self, ref: str) -> Answer:
+        """Reads the body from the owner or any other store: all copies are identical."""
         shard, until = shard_in(ref), self._runtime.now() + STATUS_TIMEOUT_MS
         if shard is None:
             return NO_MESSAGE
         while self._runtime.now() < until:
-            changed, without_it = self._member.changed, 0
-            for name in self._sources(shard):
+            changed, missing_count = self._member.changed, 0
+            for name in self._stores_to_ask(shard):
                 link = self._links.responsive_link(name)
                 if link is None:
                     continue
@@ -121,18 +122,18 @@
                     continue
                 if result.message.found:
                     return Answer(200, result.body, kind="application/octet-stream")
-                without_it += self._is_complete(name, link)
-            if without_it >= max(1, self._sufficient()):
+                missing_count += self._is_complete(name, link)
+            if missing_count >= max(1, self._sufficient_count()):
                 return NO_MESSAGE
-            await wait_for(changed, RETRY_MS)
+            await wait_for_event(changed, RETRY_MS)
         return refused("its store can't be asked now")
 
-    def _sources(self, shard: int) -> list[str]:
-        """Who may know of a message: first its shard's owner, "" while it has none."""
+    def _stores_to_ask(self, shard: int) -> list[str]:
+        """The stores that may know a message, the owner of its shard ("" if it has none) first."""
         view = self._member.view
         owner = view.owners[shard]
         return [owner, *(name for name in view.live_stores if name != owner)]
 
-    def _sufficient(self) -> int:
-        """So many stores that what is kept for good is known to one of them."""
+    def _sufficient_count(self) -> int:
+        """How many stores must answer so that at least one of them knows any replicated message."""
         return len(self._member.view.roster) - self._runtime.settings.tolerates.machine_loss
--- a/sableford/edge/message_status.py
+++ b/sableford/edge/message_status.py
@@ -1,8 +1,8 @@
-"""Which of several stores' responses on a message's state holds. No I/O.
+"""Derives the state of a message from the responses of several stores. No I/O.
 
-A final state is final wherever it is known. That a message is pending, or unknown, is for the owner of its
-shard to say, or for so many others that one who knew of a final state would be among them. A store that has
-lost its disk knows of nothing, and does not count among these before it is complete again.
+A final state is valid whichever store reports it. That a message is pending or unknown is valid if the owner
+of its shard reports it, or if so many stores have answered that one of them would know a final state. A store
+that has lost its disk knows nothing, and does not count towards that number until it is complete again.
 """
 
 from collections.abc import Sequence
@@ -12,36 +12,40 @@
 
 
 class StoreResponse(NamedTuple):
-    """One store's response. `is_complete`: its disk holds all that it ever said to hold."""
+    """One store's response. `is_complete`: its disk holds everything that it ever acknowledged."""
 
     response: StatusResponse
     is_complete: bool = True
 
 
 def final_response(
-    heard: Sequence[StoreResponse], of_owner: StatusResponse | None, sufficient: int
+    responses: Sequence[StoreResponse], owner_response: StatusResponse | None, sufficient: int
 ) -> StatusResponse | None:
-    """The response that holds, by now. `of_owner`, among those heard, is from whom the view names owner;
-    `sufficient` is how many complete stores are sure to include one that knows.
+    """The conclusive response so far, or None. `owner_response` is the one, also in `responses`, of the store
+    that the view names as owner; of `sufficient` complete stores at least one knows any final state.
 
     >>> from sableford.store.protocol import MessageState
     >>> pending = StatusResponse(MessageState("pending"))
     >>> ended = StatusResponse(MessageState("complete", "s"))
-    >>> def hear(*responses): return [StoreResponse(response) for response in responses]
-    >>> final_response(hear(pending), None, 2), final_response(hear(pending, ended), None, 3) is ended
+    >>> def given(*responses): return [StoreResponse(response) for response in responses]
+    >>> final_response(given(pending), None, 2), final_response(given(pending, ended), None, 3) is ended
     (None, True)
-    >>> final_response(hear(pending), pending, 2) is pending
+    >>> final_response(given(pending), pending, 2) is pending
     True
-    >>> final_response(hear(StatusResponse(), pending), None, 2) is pending
+    >>> final_response(given(StatusResponse(), pending), None, 2) is pending
     True
-    >>> final_response([*hear(StatusResponse()), StoreResponse(StatusResponse(), False)], None, 2)
+    >>> final_response([*given(StatusResponse()), StoreResponse(StatusResponse(), False)], None, 2)
     """
-    responses = [one.response for one in heard]
-    ended = next((response for response in responses if response.has_ended()), None)
+    received = [one.response for one in responses]
+    ended = next((response for response in received if response.has_ended()), None)
     if ended is not None:
         return ended
-    if of_owner is not None and of_owner.state is not None and of_owner.is_owner is not False:
-        return of_owner
-    if sum(one.is_complete for one in heard) < max(1, sufficient):
+    if (
+        owner_response is not None
+        and owner_response.state is not None
+        and owner_response.is_owner is not False
+    ):
+        return owner_response
+    if sum(one.is_complete for one in responses) < max(1, sufficient):
         return None
-    return next((response for response in responses if response.state is not None), responses[0])
+    return next((response for response in received if response.state is not None), received[0])
--- a/sableford/edge/put_progress.py
+++ b/sableford/edge/put_progress.py
@@ -1,11 +1,12 @@
-"""What an edge knows of a message that it puts to its shard's owner, and what its client may be told. No I/O.
+"""What an edge knows about a message that it sends to the owner of its shard, and which status its client may
+get. No I/O.
 
-| response to a put | then |
+| response to a put | consequence |
 | --- | --- |
 | kept | 202 |
-| not sent, or plainly refused | as if it had not been: put to any shard; 503 when given up |
-| none, one that can't be read, "may" | unclear from now on, whatever comes after: put to the same |
-| | shard only, marked as a retry; 504 when given up |
+| not sent, or definitely refused | may be sent to any shard; 503 if no attempt succeeds |
+| none, an unreadable one, or "may" | unclear from now on, whatever comes after: sent to the same shard |
+| | only, marked as a retry; 504 if no attempt succeeds |
 """
 
 from enum import Enum
@@ -16,7 +17,7 @@
 
 
 class PutOutcome(Enum):
-    """What one put has come to."""
+    """The outcome of one put."""
 
     KEPT = "on enough disks"
     NOT_TAKEN = "not kept, and never will be by this put"
@@ -24,7 +25,7 @@
 
 
 def outcome_of(result: CallResult[PutResponse]) -> tuple[PutOutcome, str]:
-    """What a response, or none, proves; and the reason of a refusal."""
+    """The outcome that a call result proves, and the reason if the put was refused."""
     if result.execution is Execution.NOT_RUN:
         return PutOutcome.NOT_TAKEN, ""
     response = result.message
@@ -38,18 +39,20 @@
 
 
 class PutProgress:
-    """`unclear` is never taken back: a later refusal speaks for the later put only."""
+    """The outcomes of all puts of one message.
+
+    `unclear` is never reset: a later refusal says nothing about an earlier put."""
 
     def __init__(self) -> None:
         self.kept = self.unclear = False
 
     def add(self, outcome: PutOutcome) -> None:
-        """One more put has ended."""
+        """Records the outcome of one more put."""
         self.kept = self.kept or outcome is PutOutcome.KEPT
         self.unclear = self.unclear or outcome is PutOutcome.UNCLEAR
 
     def status(self) -> int:
-        """What the client may be told when no more is tried."""
+        """The HTTP status for the client once no further put is tried."""
         if self.kept:
             return 202
         return 504 if self.unclear else 503
--- a/sableford/edge/responses.py
+++ b/sableford/edge/responses.py
@@ -1,4 +1,4 @@
-"""Answers that an edge gives itself, without a store's word."""
+"""Error responses that an edge creates itself."""
 
 import orjson
 
@@ -6,11 +6,11 @@
 from sableford.transport.http import Answer
 
 
-def refused(why: str, retry_after_s: int = 1) -> Answer:
-    """Not taken, and never run: when to come back."""
-    return Answer(503, orjson.dumps({"reason": why}), (("Retry-After", str(retry_after_s)),))
+def refused(reason: str, retry_after_s: int = 1) -> Answer:
+    """503: the message was not accepted and never runs. Tells the client when to retry."""
+    return Answer(503, orjson.dumps({"reason": reason}), (("Retry-After", str(retry_after_s)),))
 
 
 def unauthorized() -> Answer:
-    """No key that is known. Which one came is not said."""
+    """401: the key is missing or unknown. The response does not repeat it."""
     return Answer(401, b'{"reason":"a known key is wanted"}', (("WWW-Authenticate", SCHEME),))
--- a/sableford/node/__init__.py
+++ b/sableford/node/__init__.py
@@ -1,1 +1,1 @@
-"""The program of the system's machines: its command line, and what every process does besides its role."""
+"""The `sableford.node` program: its command line, and the runtime that all roles share."""
--- a/sableford/node/__main__.py
+++ b/sableford/node/__main__.py
@@ -1,14 +1,18 @@
-"""`python -m sableford.node`: the one program of all machines, by duty."""
+"""`python -m sableford.node`: runs an edge or a store."""
 
 import signal
 import sys
 
 
 def main() -> int:
-    """SIGHUP says that the settings file has changed. Until the process listens for it (`runtime`) it is
-    ignored, and not the end of the process: the file is looked at again anyway once it serves."""
+    """Runs the command line.
+
+    SIGHUP announces a changed settings file. It is ignored until its handler is installed (`runtime`): its
+    default action would end the process. The file is read again anyway once the process serves."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    from sableford.node.cli import main as run  # after it: this takes most of the start
+    from sableford.node.cli import (
+        main as run,  # imported late because the imports take most of the start-up time
+    )
 
     return run()
 
--- a/sableford/node/cli.py
+++ b/sableford/node/cli.py
@@ -1,5 +1,5 @@
-"""The command line. Exit codes: 0 after SIGTERM, 2 with one line for a bad start, 70 after a failure
-inside."""
+"""The command line. Exit codes: 0 after SIGTERM, 2 with a one-line message for invalid settings, 70 after an
+internal error."""
 
 import asyncio
 import sys
@@ -37,7 +37,7 @@
         runner.run(run())
 
 
-class _Serve(Command):
+class _ServeCommand(Command):
     options: ClassVar = [
         option("settings", "s", "The settings file; else the one that SABLEFORD_SETTINGS names.", flag=False)
     ]
@@ -58,19 +58,19 @@
         return 0
 
 
-class EdgeCommand(_Serve):
+class EdgeCommand(_ServeCommand):
     name = "edge"
     description = "Takes messages in from clients (edge machines)."
     role = "edge"
 
 
-class StoreCommand(_Serve):
+class StoreCommand(_ServeCommand):
     name = "store"
     description = "Keeps messages, delivers them, and holds its part of the core (storage machines)."
     role = "store"
 
 
-class Check(Command):
+class CheckCommand(Command):
     name = "check"
     description = "Reads a settings file, or a configuration (JSON), and says what is wrong with it."
     arguments: ClassVar = [argument("file", "The file.")]
@@ -106,13 +106,13 @@
         return 0
 
 
-def main(words: list[str] | None = None) -> int:
+def main(arguments: list[str] | None = None) -> int:
     application = Application("sableford", "0.3.0")
-    for command in (EdgeCommand(), StoreCommand(), Check()):
+    for command in (EdgeCommand(), StoreCommand(), CheckCommand()):
         application.add(command)
     application.auto_exits(False)
-    if words is None:
+    if arguments is None:
         return application.run()
     from cleo.io.inputs.argv_input import ArgvInput
 
-    return application.run(ArgvInput(["sableford", *words]))
+    return application.run(ArgvInput(["sableford", *arguments]))
--- a/tests/closed_shards.py
+++ b/tests/closed_shards.py
@@ -7,7 +7,7 @@
 from sableford.control.timing import LEASE_MS
 from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.edge.gateway import RETRY_MS
-from sableford.edge.shard_availability import FORGET_MS, PASS_OVER_MS, TAKEOVER_MS, ShardAvailability
+from sableford.edge.shard_availability import FORGET_MS, SKIP_MS, TAKEOVER_MS, ShardAvailability
 from sableford.simulation.stores import DOC
 from sableford.store.acceptance import PARK_MS, REFUSED_OPENING
 from sableford.store.choice import Choice
@@ -85,9 +85,9 @@
 def shows_an_owner_that_refused_is_asked_again_after_a_while() -> None:
     shards = availability()
     shards.unreachable(0.0, 7)
-    assert not shards.is_passed_over(0.0, 7)
+    assert not shards.is_skipped(0.0, 7)
     shards.refused(0.0, 7)
-    assert shards.is_passed_over(PASS_OVER_MS - 1.0, 7) and not shards.is_passed_over(PASS_OVER_MS, 7)
+    assert shards.is_skipped(SKIP_MS - 1.0, 7) and not shards.is_skipped(SKIP_MS, 7)
 
 
 def shows_what_was_seen_of_a_shard_is_forgotten() -> None:
