--- a/sableford/common/__init__.py
+++ b/sableford/common/__init__.py
@@ -1,1 +1,1 @@
-"""What all packages stand on: the settings file, the log, the disk. It imports none of them."""
+"""Shared foundations: the settings file, the log and the disk. Imports no other package of sableford."""
--- a/sableford/common/disk.py
+++ b/sableford/common/disk.py
@@ -1,11 +1,11 @@
-"""The folder of a machine with a disk: one lmdb file, written by one thread that gathers what waits into one
-synced commit. Nothing here runs on the event loop but the handing over.
+"""Persistent storage: one LMDB file, written by one thread that batches queued writes into one synced commit.
+On the event loop, requests are only queued and results delivered.
 
-Each value carries a CRC32C. A folder that can't be read completely is a lost disk and never an empty one: the
-file is set aside and the process starts as one whose disk was lost.
+Each value has a CRC32C checksum. A folder that can't be read completely counts as a lost disk, never as an
+empty one: the file is moved aside and the process starts as one that has lost its disk.
 
-After a commit that failed lmdb may refuse everything for as long as its file stays open (MDB_PANIC), so the
-file is closed and opened anew: a disk that was full for a while is used again once it takes bytes.
+After a failed commit LMDB may refuse all access until its file is closed (MDB_PANIC). The file is therefore
+reopened, so that a disk that was full for a while is used again once it has room.
 """
 
 import asyncio
@@ -22,14 +22,17 @@
 import google_crc32c
 import lmdb
 
-FILE_PART = 0.6  # of the disk may be the file; the rest is for pages that readers hold and for the next file
+# Of the disk, for the LMDB file; the rest is for pages that readers hold and for the next file.
+FILE_FRACTION = 0.6
 MIN_FILE_MB = 16
 BYTES_PER_MB = 1_048_576
-RESERVED_PART = 0.06  # of the file is kept for ending what is there: a full queue can still be emptied
-REOPEN_PART = 0.12  # of the file must be free before a full one takes more again: twice the reserve
+# Of the file, reserved for finishing stored messages, so that a full queue can drain.
+RESERVED_FRACTION = 0.06
+# Of the file, must be free before a full one accepts additions again: twice the reserve.
+REOPEN_FRACTION = 0.12
 PAGE_BYTES = 4096
 MAX_BATCH = 400  # writes in one commit
-RETRY_S = 0.1  # after a commit that failed; until then writes are refused without a try
+RETRY_S = 0.1  # after a failed commit; until then writes fail without an attempt
 CHECKSUM_BYTES = 4
 FILES = ("data.mdb", "lock.mdb")
 
@@ -37,15 +40,15 @@
 
 
 class DamagedError(Exception):
-    """A value is not what was written."""
+    """The checksum of a value does not match."""
 
 
 class DiskFullError(Exception):
-    """No room for more; what is there stays."""
+    """There is no room for the write; stored data is unaffected."""
 
 
 class _Write(NamedTuple):
-    """Waits for the thread. `adds`: it adds to what is kept."""
+    """A queued write. `adds`: it adds data, so it may not use the reserve."""
 
     puts: Puts
     adds: bool
@@ -54,7 +57,7 @@
 
 
 class _Read(NamedTuple):
-    """Waits for the thread."""
+    """A queued read."""
 
     key: bytes
     loop: asyncio.AbstractEventLoop
@@ -62,7 +65,7 @@
 
 
 class _Result(NamedTuple):
-    """What a future is to get: a value, or a problem."""
+    """The value or the exception for a future."""
 
     future: "asyncio.Future[Any]"
     value: Any = None
@@ -78,28 +81,28 @@
 
 
 def _checked(key: bytes, stored: bytes) -> bytes:
-    """The value without its checksum. Raises DamagedError."""
+    """Returns the value without its checksum. Raises DamagedError."""
     value = bytes(stored[CHECKSUM_BYTES:])
     if _checksum(value) != bytes(stored[:CHECKSUM_BYTES]):
-        raise DamagedError(f"{key!r}")
+        raise DamagedError(f"the checksum of {key!r} does not match")
     return value
 
 
 class Disk:
-    """`write` and `read` give futures of the loop that called them."""
+    """`write` and `read` return futures of the event loop that called them."""
 
     def __init__(self, folder: Path, disk_mb: float) -> None:
         self.folder = folder
-        self._file_bytes = max(MIN_FILE_MB, int(disk_mb * FILE_PART)) * BYTES_PER_MB
-        self._queue: SimpleQueue[_Read | _Write | None] = SimpleQueue()  # None: the thread is to end
-        self._env: Any = None  # lmdb's handle of the open file
+        self._file_bytes = max(MIN_FILE_MB, int(disk_mb * FILE_FRACTION)) * BYTES_PER_MB
+        self._queue: SimpleQueue[_Read | _Write | None] = SimpleQueue()  # None: stops the thread
+        self._env: Any = None  # the LMDB environment
         self._failure: Exception | None = None  # of the last commit, if it failed
-        self._retry_at = 0.0  # s of the steady clock
-        self.lost = ""  # why what the folder held is not to be had
-        self.full = False  # it took nothing more when last asked, and has not said since that it does
+        self._retry_at = 0.0  # s of the monotonic clock
+        self.lost = ""  # why the previous data is lost; empty if it is not
+        self.full = False  # the last addition was refused for lack of room, and none has been accepted since
 
     def open(self) -> None:
-        """Before anything is served. Sets a folder that can't be read aside."""
+        """Opens the file and starts the thread. Moves an unreadable file aside."""
         self.folder.mkdir(parents=True, exist_ok=True)
         try:
             self._open_file()
@@ -107,7 +110,7 @@
                 pass
         except (lmdb.Error, DamagedError) as problem:
             self.lost = f"{type(problem).__name__}: {problem}"
-            self._set_aside()
+            self._move_aside()
             self._open_file()
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self._thread.start()
@@ -117,7 +120,7 @@
             str(self.folder), map_size=self._file_bytes, lock=False, max_spare_txns=2, readahead=False
         )
 
-    def _set_aside(self) -> None:
+    def _move_aside(self) -> None:
         if self._env is not None:
             self._env.close()
         for name in FILES:
@@ -125,13 +128,13 @@
                 (self.folder / name).replace(self.folder / f"{name}.damaged")
 
     def close(self) -> None:
-        """Once nothing is asked of it any more."""
+        """Stops the thread after all queued requests and closes the file."""
         self._queue.put(None)
         self._thread.join()
         self._env.close()
 
     def load(self, prefix: bytes) -> Iterable[tuple[bytes, bytes]]:
-        """All under a prefix, before anything is served. Raises DamagedError."""
+        """Yields all keys with a prefix and their values; for use at start-up only. Raises DamagedError."""
         with self._env.begin() as transaction:
             cursor = transaction.cursor()
             if not cursor.set_range(prefix):
@@ -142,15 +145,15 @@
                 yield bytes(key), _checked(bytes(key), stored)
 
     def write(self, puts: Puts, more: bool = False) -> "asyncio.Future[bool]":
-        """All of it or nothing, synced, in the order of calls. `more`: it adds to what is kept, and is
-        refused with DiskFullError before the room for endings is used up."""
+        """Writes atomically and synced, in the order of calls. `more`: the write adds data, and fails with
+        DiskFullError rather than use the reserve."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
         self._queue.put(_Write(puts, more, loop, future))
         return future
 
     def read(self, key: bytes) -> "asyncio.Future[bytes | None]":
-        """The value of a key, None where there is none; fails with DamagedError."""
+        """The value of a key, or None; the future fails with DamagedError if the checksum does not match."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bytes | None] = loop.create_future()
         self._queue.put(_Read(key, loop, future))
@@ -160,28 +163,28 @@
 
     def _run(self) -> None:
         while True:
-            jobs = [self._queue.get()]
-            while len(jobs) < MAX_BATCH and not self._queue.empty():
-                jobs.append(self._queue.get())
-            writes = [job for job in jobs if isinstance(job, _Write)]
+            requests = [self._queue.get()]
+            while len(requests) < MAX_BATCH and not self._queue.empty():
+                requests.append(self._queue.get())
+            writes = [request for request in requests if isinstance(request, _Write)]
             if writes:
-                _deliver(writes[0].loop, self._commit(writes))
-            for job in jobs:
-                if isinstance(job, _Read):
-                    _deliver(job.loop, [self._read(job)])
-            if None in jobs:
+                _post_results(writes[0].loop, self._commit(writes))
+            for request in requests:
+                if isinstance(request, _Read):
+                    _post_results(request.loop, [self._read(request)])
+            if None in requests:
                 return
 
-    def _read(self, job: _Read) -> _Result:
+    def _read(self, request: _Read) -> _Result:
         try:
             with self._usable_file().begin() as transaction:
-                stored = transaction.get(job.key)
-            return _Result(job.future, None if stored is None else _checked(job.key, stored))
+                stored = transaction.get(request.key)
+            return _Result(request.future, None if stored is None else _checked(request.key, stored))
         except Exception as problem:
-            return _Result(job.future, problem=problem)
+            return _Result(request.future, problem=problem)
 
     def _usable_file(self) -> Any:
-        """The open file; opened anew after a commit that failed."""
+        """The open file, reopened after a failed commit."""
         if self._failure is not None:
             self._env.close()
             self._open_file()
@@ -189,7 +192,7 @@
         return self._env
 
     def _commit(self, writes: list[_Write]) -> list[_Result]:
-        """All in one transaction; where it fails none of them is kept."""
+        """Commits the writes in one transaction; if it fails, none of them is stored."""
         if self._failure is not None and time.monotonic() < self._retry_at:
             return [_Result(write.future, problem=self._failure) for write in writes]
         try:
@@ -221,12 +224,12 @@
         return results
 
     def _room(self) -> int:
-        """Bytes that may be added. Pages count that hold something: the file itself never shrinks, and freed
-        pages are used again."""
+        """The bytes that may be added. Counts pages in use, not the file's size: the file never shrinks, and
+        freed pages are reused."""
         stat = self._env.stat()
         used = (stat["branch_pages"] + stat["leaf_pages"] + stat["overflow_pages"]) * stat["psize"]
-        kept_free = REOPEN_PART if self.full else RESERVED_PART
-        return int(self._file_bytes * (1.0 - kept_free)) - int(used)
+        reserve = REOPEN_FRACTION if self.full else RESERVED_FRACTION
+        return int(self._file_bytes * (1.0 - reserve)) - int(used)
 
 
 def _put_all(transaction: Any, puts: Puts) -> None:
@@ -238,21 +241,21 @@
 
 
 def _pages(value: bytes) -> int:
-    """At most what a value takes of the file, in bytes of whole pages."""
+    """An upper bound of the space for a value, in bytes of whole pages."""
     return (len(value) // PAGE_BYTES + 2) * PAGE_BYTES
 
 
 def _is_no_space(problem: Exception) -> bool:
-    """Whether the machine's disk has no room; lmdb tells it by the system's text only."""
+    """Whether the machine's disk is full; LMDB reports it only by the text of the system error."""
     return os.strerror(errno.ENOSPC) in str(problem)
 
 
-def _deliver(loop: asyncio.AbstractEventLoop, results: list[_Result]) -> None:
-    with suppress(RuntimeError):  # the loop has ended
-        loop.call_soon_threadsafe(_complete, results)
+def _post_results(loop: asyncio.AbstractEventLoop, results: list[_Result]) -> None:
+    with suppress(RuntimeError):  # the loop is closed
+        loop.call_soon_threadsafe(_set_results, results)
 
 
-def _complete(results: list[_Result]) -> None:
+def _set_results(results: list[_Result]) -> None:
     for result in results:
         if result.future.done():
             continue
--- a/sableford/common/log_writer.py
+++ b/sableford/common/log_writer.py
@@ -1,5 +1,5 @@
-"""Writes log lines by a thread of its own, so that whoever reads the log slowly, or not at all, holds up
-nobody.
+"""Writes log lines from a separate thread, so that a slow or stalled reader of the log does not block the
+process.
 """
 
 import os
@@ -10,41 +10,43 @@
 
 import orjson
 
-MAX_WAITING_BYTES = 1_048_576  # for a slow reader: some 5,000 lines, minutes of what is usual
-MAX_WRITE_BYTES = 65_536  # in one call: what a pipe holds
+MAX_WAITING_BYTES = 1_048_576  # for a slow reader: some 5,000 lines, minutes of usual output
+MAX_WRITE_BYTES = 65_536  # in one call: the capacity of a pipe
 
 
 class LogWriter:
-    """`file`: a file descriptor. What is over the bound is left out and counted in the log itself, as
-    `log_gap`, once there is room again."""
+    """Writes to the file descriptor `file`. Lines over the limit are dropped; their number is logged as the
+    event `log_gap` once there is room again."""
 
     def __init__(self, file: int) -> None:
         self._file = file
         self._lines: SimpleQueue[bytes] = SimpleQueue()
-        self._put = self._written = 0  # bytes; the first is the loop's, the second the thread's
-        self._lost = 0
-        self._begun = False
+        self._queued_bytes = self._written_bytes = (
+            0  # bytes; the first is changed by the event loop only, the second by the thread only
+        )
+        self._dropped_lines = 0
+        self._thread_started = False
 
     def write(self, line: bytes) -> None:
-        """One line, with its end."""
-        if self._put - self._written > MAX_WAITING_BYTES:
-            self._lost += 1
+        """Queues one line, which includes its newline."""
+        if self._queued_bytes - self._written_bytes > MAX_WAITING_BYTES:
+            self._dropped_lines += 1
             return
-        if self._lost:
-            gap = {"at": round(time.time(), 3), "event": "log_gap", "lost": self._lost}
-            self._lost = 0
-            self._pass(orjson.dumps(gap, option=orjson.OPT_APPEND_NEWLINE))
-        self._pass(line)
+        if self._dropped_lines:
+            gap = {"at": round(time.time(), 3), "event": "log_gap", "lost": self._dropped_lines}
+            self._dropped_lines = 0
+            self._enqueue(orjson.dumps(gap, option=orjson.OPT_APPEND_NEWLINE))
+        self._enqueue(line)
 
-    def _pass(self, line: bytes) -> None:
-        self._put += len(line)
+    def _enqueue(self, line: bytes) -> None:
+        self._queued_bytes += len(line)
         self._lines.put(line)
-        if not self._begun:
-            self._begun = True
+        if not self._thread_started:
+            self._thread_started = True
             threading.Thread(target=self._run, name="log", daemon=True).start()
 
     def flush(self) -> None:
-        """Nothing is kept back."""
+        """Does nothing: the thread writes all lines as soon as it can."""
 
     def _run(self) -> None:
         while True:
@@ -53,13 +55,13 @@
                 while len(text) < MAX_WRITE_BYTES:
                     text += self._lines.get_nowait()
             size = len(text)
-            with suppress(OSError):  # nobody reads the log: no reason to stop serving
+            with suppress(OSError):  # the reader of the log is gone; the process goes on
                 while text:
                     text = text[os.write(self._file, text) :]
-            self._written += size
+            self._written_bytes += size
 
     def close(self, timeout_ms: float) -> None:
-        """What was written goes out, where somebody reads it within so many ms."""
+        """Waits until pending lines are written, for at most `timeout_ms`."""
         until = time.monotonic() + timeout_ms / 1000.0
-        while self._written < self._put and time.monotonic() < until:
+        while self._written_bytes < self._queued_bytes and time.monotonic() < until:
             time.sleep(0.001)
--- a/sableford/common/serial_executor.py
+++ b/sableford/common/serial_executor.py
@@ -1,7 +1,7 @@
-"""A thread for calls that a disk or a pipe may hold up, so that the event loop never waits for one.
+"""Runs blocking calls (disk, pipe) one at a time on a thread, so that they do not block the event loop.
 
-It owns the order of calls: one under way, the rest behind it, a later one of a kind in place of an earlier
-one that waits. It must never touch what the loop owns; a result goes back by `call_soon_threadsafe`.
+A queued call is replaced by a later one of the same kind. The thread does not touch state of the event loop;
+results are returned with `call_soon_threadsafe`.
 """
 
 import asyncio
@@ -13,28 +13,28 @@
 
 
 class SerialExecutor:
-    """Calls of one loop, run one after the other. The thread starts with the first call and ends with the
-    process: one that a disk never gives back must not keep a process from its end."""
+    """Runs the calls of one event loop in sequence. The thread starts with the first call and is a daemon: a
+    call that a faulty disk never completes must not keep the process from exiting."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._kinds: SimpleQueue[str] = SimpleQueue()
         self._lock = threading.Lock()
-        self._waiting: dict[str, tuple[Callable[[], object], list[asyncio.Future[Any]]]] = {}
-        self._begun = False
+        self._queued: dict[str, tuple[Callable[[], object], list[asyncio.Future[Any]]]] = {}
+        self._thread_started = False
 
     def submit(self, kind: str, work: Callable[[], object]) -> asyncio.Future[Any]:
-        """What `work` gives, begun after this call. Where one of this kind waits already, the later work runs
-        in its place, once, and both futures get what it gave."""
+        """A future of the result of `work`. If a call of the same kind is queued, `work` replaces it, runs
+        once, and both futures get its result."""
         future = asyncio.get_running_loop().create_future()
         with self._lock:
-            _, futures = self._waiting.pop(kind, (work, []))
-            known = bool(futures)
-            self._waiting[kind] = work, [*futures, future]
-        if not known:
+            _, futures = self._queued.pop(kind, (work, []))
+            is_queued = bool(futures)
+            self._queued[kind] = work, [*futures, future]
+        if not is_queued:
             self._kinds.put(kind)
-        if not self._begun:
-            self._begun = True
+        if not self._thread_started:
+            self._thread_started = True
             threading.Thread(target=self._run, name=self._name, daemon=True).start()
         return future
 
@@ -42,19 +42,19 @@
         while True:
             kind = self._kinds.get()
             with self._lock:
-                work, futures = self._waiting.pop(kind)
+                work, futures = self._queued.pop(kind)
             result, problem = None, None
             try:
                 result = work()
-            except Exception as raised:
-                problem = raised
-            with suppress(RuntimeError):  # the loop has ended
-                futures[0].get_loop().call_soon_threadsafe(_settle, futures, result, problem)
+            except Exception as error:
+                problem = error
+            with suppress(RuntimeError):  # the loop is closed
+                futures[0].get_loop().call_soon_threadsafe(_set_results, futures, result, problem)
 
 
-def _settle(futures: list[asyncio.Future[Any]], result: object, problem: Exception | None) -> None:
+def _set_results(futures: list[asyncio.Future[Any]], result: object, problem: Exception | None) -> None:
     for future in futures:
-        if future.done():  # nobody waits for it any more
+        if future.done():  # cancelled by its waiter
             continue
         if problem is None:
             future.set_result(result)
--- a/sableford/common/settings.py
+++ b/sableford/common/settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what the installation tells a process. Unknown fields are passed over."""
+"""The settings file of a process. Unknown fields are ignored."""
 
 import os
 from pathlib import Path
@@ -6,18 +6,18 @@
 import msgspec
 import yaml
 
-VARIABLE = "SABLEFORD_SETTINGS"
-DEFAULT = "/etc/sableford/settings.yaml"
-USAGE_REPORT = "usage_report"  # of `cloudApi.dutySet`
+PATH_VARIABLE = "SABLEFORD_SETTINGS"
+DEFAULT_PATH = "/etc/sableford/settings.yaml"
+USAGE_REPORT = "usage_report"  # a value of `cloudApi.dutySet`
 
-# Of `ruleParts`: those whose rules this program keeps.
+# The values of `ruleParts` that this program implements.
 KNOWN_RULE_PARTS = frozenset(
     ("base", "drain", "config", "cost", "ingest", "recover", "health", "pool", "tenants", "leader")
 )
 
 
 class SettingsError(Exception):
-    """One line: the file, the field, what is wrong with it."""
+    """The settings file is invalid. The message is one line with the file, the field and the fault."""
 
 
 class Limits(msgspec.Struct, rename="camel"):
@@ -42,7 +42,7 @@
 
 
 class Bounds(msgspec.Struct, rename="camel"):
-    """`ruleBounds`; in ms and seconds as the names say."""
+    """The time limits of `ruleBounds`, in ms or seconds as the names say."""
 
     seed_stale_s: float = 3
     addr_reuse_s: float = 2
@@ -68,13 +68,13 @@
 
     @property
     def configuration_ms(self) -> float:
-        """How long after the acknowledgement of a version a member may still act on an older one, keys
-        included."""
+        """How long after the acknowledgement of a configuration version a member may still use an older one,
+        including its API keys."""
         return self.apply_ms if self.revoke_ms is None else min(self.apply_ms, self.revoke_ms)
 
 
 class CloudApi(msgspec.Struct, rename="camel"):
-    """The platform, for which some calls are made by one store at a time (`docs/duties.md`)."""
+    """The cloud platform. Some calls to it are made by one store at a time (`docs/duties.md`)."""
 
     address: str
     duty_set: list[str] = []
@@ -102,11 +102,11 @@
     tolerates: Tolerates = msgspec.field(default_factory=Tolerates)
     rule_bounds: Bounds = msgspec.field(default_factory=Bounds)
     cloud_api: CloudApi | None = None
-    rule_parts: list[str] = []  # what is asked of this deployment
+    rule_parts: list[str] = []  # required of this deployment
 
     @property
     def unknown_rule_parts(self) -> list[str]:
-        """What is asked for and not built.
+        """The required rule parts that this program does not implement.
 
         >>> Settings("a", "10.0.0.1", "z", (1, 2), rule_parts=["base", "quotas"]).unknown_rule_parts
         ['quotas']
@@ -115,17 +115,18 @@
 
     @property
     def reports_usage(self) -> bool:
-        """Whether usage is to be reported to a platform."""
+        """Whether usage is reported to the platform."""
         return self.cloud_api is not None and USAGE_REPORT in self.cloud_api.duty_set
 
     @property
     def seeds(self) -> list[str]:
-        """The hosts of the seeds; their inner port is the own one, since ports are alike on all machines."""
+        """The hosts of the seed nodes. Their ports are not needed: all machines use the same peer port."""
         return [address(text)[0] for text in self.seed_nodes]
 
 
 def address(text: str) -> tuple[str, int]:
-    """
+    """Parses "host:port". Raises ValueError.
+
     >>> address("10.0.0.4:8000")
     ('10.0.0.4', 8000)
     >>> address("10.0.0.4:²")
@@ -140,7 +141,7 @@
 
 
 def _check_cloud_api(cloud_api: CloudApi, bounds: Bounds) -> None:
-    """Raises ValueError."""
+    """Validates `cloudApi` and the bounds that belong to it. Raises ValueError."""
     address(cloud_api.address)
     positive = {
         "cloudApi.ratePerS": cloud_api.rate_per_s,
@@ -149,15 +150,16 @@
     }
     for field, value in positive.items():
         if not value > 0:
-            raise ValueError(f"{field}: a number above 0 is wanted")
+            raise ValueError(f"{field}: must be greater than 0")
 
 
 def path() -> Path:
-    return Path(os.environ.get(VARIABLE, DEFAULT))
+    """The path of the settings file, from the environment or the default."""
+    return Path(os.environ.get(PATH_VARIABLE, DEFAULT_PATH))
 
 
 def read(file: Path) -> Settings:
-    """Raises SettingsError."""
+    """Reads and parses a settings file. Raises SettingsError."""
     try:
         text = file.read_text()
     except OSError as problem:
@@ -166,24 +168,25 @@
 
 
 def parse(text: str, name: str) -> Settings:
-    """
+    """Parses settings; `name` is used in error messages. Raises SettingsError.
+
     >>> parse("nodeName: a", "s.yaml")
     Traceback (most recent call last):
     ...
     sableford.common.settings.SettingsError: s.yaml: Object missing required field `bindIp`
     """
     try:
-        given = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
-        settings = msgspec.convert(given, Settings, strict=False)
-        for one in settings.seed_nodes:
-            address(one)
+        document = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
+        settings = msgspec.convert(document, Settings, strict=False)
+        for seed_node in settings.seed_nodes:
+            address(seed_node)
         for field in ("public_http", "ready_probe", "control_rpc"):
             if (value := getattr(settings.bind_addrs, field)) is not None:
                 address(value)
         if settings.cloud_api is not None:
             _check_cloud_api(settings.cloud_api, settings.rule_bounds)
     except yaml.YAMLError as problem:
-        raise SettingsError(f"{name}: no YAML: {' '.join(str(problem).split())}") from None
+        raise SettingsError(f"{name}: invalid YAML: {' '.join(str(problem).split())}") from None
     except (msgspec.ValidationError, ValueError) as problem:
         raise SettingsError(f"{name}: {problem}") from None
     return settings
--- a/sableford/node/runtime.py
+++ b/sableford/node/runtime.py
@@ -1,5 +1,5 @@
-"""What every process of the system does besides its role: the inner address, held links, its signals, its
-settings while they change.
+"""The runtime that all roles share: the listener for peers, the links to peers, signals, and reloading of the
+settings file.
 """
 
 import asyncio
@@ -21,14 +21,19 @@
 from sableford.transport.messages import PROTOCOL_VERSION, HelloRequest
 from sableford.transport.peer_server import PeerServer
 
-SETTINGS_CHECK_S = 2.0  # between two looks at the settings file
-FIXED_SETTINGS = ("bind_ip", "port_range", "bind_addrs", "data_dir")  # a change needs a restart
+SETTINGS_CHECK_S = 2.0  # between two checks of the settings file for changes
+FIXED_SETTINGS = (
+    "bind_ip",
+    "port_range",
+    "bind_addrs",
+    "data_dir",
+)  # a change takes effect only after a restart
 
-HEARD_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 class StoreStatus(NamedTuple):
-    """What a store tells the leader beside what all members do; see `protocol.MemberStatus`."""
+    """What a store reports to the leader in addition to other members; see `protocol.MemberStatus`."""
 
     complete: bool = True
     empty: bool = False
@@ -39,7 +44,7 @@
 
 
 class _FileIdentity(NamedTuple):
-    """By which a change of the settings file is noticed."""
+    """File attributes that reveal a change of the settings file."""
 
     modified_ns: int
     size: int
@@ -47,8 +52,8 @@
 
 
 class Runtime:
-    """One process of a role: "edge" or "store". Others register with `peer_server` and `member` what they
-    handle, then call `listen`; `ending` is set once the process is to end."""
+    """One process in the role "edge" or "store". Register message handlers with `peer_server` and callbacks
+    with `member`, then call `listen`. `ending` is set when the process should stop."""
 
     def __init__(self, settings: Settings, file: Path, role: str) -> None:
         self.settings, self.file, self.role = settings, file, role
@@ -64,18 +69,18 @@
         hello = HelloRequest(self.me, self.incarnation, role, PROTOCOL_VERSION)
         self.links = LinkPool(hello, self.port, self.peer_server.receive)
         self.member = MemberClient(self.links, self.me, self.status, lambda: self.settings.seeds, self.log)
-        self.peer_server.handle(Update, self._update)
+        self.peer_server.handle(Update, self._apply_update)
         self._file_calls = SerialExecutor("settings")
         self._file_identity: _FileIdentity | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.loop.set_exception_handler(self._log_unhandled)
 
     def now(self) -> float:
-        """ms of the loop's clock."""
+        """The time of the event loop's clock in ms."""
         return self.loop.time() * 1000.0
 
     def status(self) -> MemberStatus:
-        """What this process says of itself to the leader."""
+        """What this process reports about itself to the leader."""
         return MemberStatus(
             incarnation=self.incarnation,
             role=self.role,
@@ -87,16 +92,16 @@
             **self.store_status._asdict(),
         )
 
-    def _update(self, incoming: IncomingMessage[Update]) -> None:
+    def _apply_update(self, incoming: IncomingMessage[Update]) -> None:
         self.member.apply_update(incoming.link, incoming.message)
 
     async def listen(self) -> None:
-        """The inner address, and the signals; from here on a refused dial proves that this process has
-        ended."""
+        """Listens for peers and installs the signal handlers. From here on a refused connection proves
+        that this process has ended."""
         await self.peer_server.listen(self.port)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.end)
-        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.spawn(self._read_settings(forced=True)))
+        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.spawn(self._reload_settings(forced=True)))
         self.spawn(self.member.run())
         self.spawn(self._watch_settings())
         self.log.event("up", role=self.role, birth=self.incarnation, pid=os.getpid())
@@ -104,23 +109,24 @@
             self.log.event("rule_parts_unknown", parts=unknown)
 
     def end(self) -> None:
-        """The process is to end: others are told at once."""
+        """Starts the shutdown, and reports it to the leader at once."""
         if not self.ending.is_set():
             self.ending.set()
             self.log.event("ending")
             self.member.renew_now()
 
     def ignore_signals(self) -> None:
-        """All is done: a signal that comes once more is not to end the process in another way than it ends.
-        The interpreter gives signals with a handler their default back as it ends, but not ignored ones."""
-        for number in HEARD_SIGNALS:
+        """Ignores further signals, so that they do not change the exit code of a finished process.
+
+        On exit the interpreter resets signals with a handler to their default action, not ignored ones."""
+        for number in HANDLED_SIGNALS:
             self.loop.remove_signal_handler(number)
             signal.signal(number, signal.SIG_IGN)
 
     # Tasks
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
-        """Runs a task of the process's own; one that fails is logged and ends alone."""
+        """Starts a background task. A failure is logged and affects no other task."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._task_ended)
@@ -132,7 +138,7 @@
             self._log_unhandled(self.loop, {"message": "a task failed", "exception": problem})
 
     def _log_unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """With the place in the code where it was raised."""
+        """Logs an unhandled exception with the place in the code where it was raised."""
         problem = context.get("exception")
         place = ""
         if problem is not None and problem.__traceback__ is not None:
@@ -147,17 +153,17 @@
     async def _watch_settings(self) -> None:
         while True:
             await asyncio.sleep(SETTINGS_CHECK_S)
-            await self._read_settings(forced=False)
+            await self._reload_settings(forced=False)
 
     def _load_settings(self, forced: bool) -> tuple[_FileIdentity, Settings | None]:
-        """The file's identity, and its settings if they may have changed. Not on the event loop."""
+        """Returns the file's identity, and its settings if they may have changed. Blocking."""
         stat = self.file.stat()
         identity = _FileIdentity(stat.st_mtime_ns, stat.st_size, stat.st_ino)
         is_unchanged = identity == self._file_identity and not forced
         return identity, None if is_unchanged else read(self.file)
 
-    async def _read_settings(self, forced: bool) -> None:
-        """The settings as they are now; a bad file leaves the old ones in force."""
+    async def _reload_settings(self, forced: bool) -> None:
+        """Reloads the settings; if the file is invalid the current settings remain in use."""
         try:
             identity, settings = await self._file_calls.submit("read", lambda: self._load_settings(forced))
         except (SettingsError, OSError) as problem:
@@ -166,6 +172,6 @@
         self._file_identity = identity
         if settings is None or settings == self.settings:
             return
-        before, self.settings = self.settings, settings
-        need_restart = [name for name in FIXED_SETTINGS if getattr(settings, name) != getattr(before, name)]
+        previous, self.settings = self.settings, settings
+        need_restart = [name for name in FIXED_SETTINGS if getattr(settings, name) != getattr(previous, name)]
         self.log.event("settings_read", need_restart=need_restart)
--- a/tests/node_signals.py
+++ b/tests/node_signals.py
@@ -28,7 +28,7 @@
 from pathlib import Path
 import uvloop
 from sableford.common.settings import parse
-from sableford.node.runtime import HEARD_SIGNALS, Runtime
+from sableford.node.runtime import HANDLED_SIGNALS, Runtime
 
 async def run():
     settings = parse(sys.argv[1], "settings")
@@ -41,7 +41,7 @@
 with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
     runner.run(run())
 
-print([signal.getsignal(number) is signal.SIG_IGN for number in HEARD_SIGNALS])
+print([signal.getsignal(number) is signal.SIG_IGN for number in HANDLED_SIGNALS])
 """
 
 
