--- a/sableford/edge/gateway.py
+++ b/sableford/edge/gateway.py
@@ -31,9 +31,8 @@
 PUT_TIMEOUT_MS = 700.0  # for an owner to answer a put; after that the outcome is unknown
 RETRY_MS = 25.0  # between two attempts while a shard has no usable owner
 RESPONSE_MARGIN_MS = 120.0  # reserved for the response to reach the client before its deadline
-UNCLEAR_TIMEOUT_MS = (
-    1300.0  # for a shard's new owner to find out whether a put was stored: a lease and a takeover
-)
+# For a shard's new owner to find out whether a put was stored: a lease and a takeover.
+UNCLEAR_TIMEOUT_MS = 1300.0
 MAX_HOLD_MS = 600.0  # wait for a store that accepts the message; after that the client may as well retry
 MAX_HOLD_FRACTION = 0.4  # of the client's deadline
 MIN_WAIT_MS = 200.0  # a message is tried for at least this long, even if its client's deadline is shorter
@@ -156,7 +155,7 @@
         wait_ms = min(client_deadline_ms, route.deadline_ms, UNCLEAR_TIMEOUT_MS) - RESPONSE_MARGIN_MS
         until = now + max(MIN_WAIT_MS, wait_ms)
         hold_until = min(until, now + min(MAX_HOLD_MS, client_deadline_ms * MAX_HOLD_FRACTION))
-        put = self._make_put_request(request, fields)
+        put = self._put_request(request, fields)
         progress, immediate_retries = PutProgress(), 0
         while True:
             changed = self.member.changed
@@ -208,7 +207,7 @@
         """False if the message is bound to one shard and too few stores are left to open it."""
         return not put.key or not self._availability.is_closed_for_long(self.runtime.now(), put.shard)
 
-    def _make_put_request(self, request: Request, fields: MessageFields) -> PutRequest:
+    def _put_request(self, request: Request, fields: MessageFields) -> PutRequest:
         shard = shard_of(order_key(fields.tenant, fields.key)) if fields.key else self._next_shard()
         return PutRequest(
             id=fields.id,
--- a/sableford/transport/__init__.py
+++ b/sableford/transport/__init__.py
@@ -1,8 +1,8 @@
-"""What every process of the system shares to speak with the others.
+"""Communication between processes.
 
-Typed messages in frames over held connections (`link`, `link_pool`, `peer_server`), HTTP/1.1 for outside
-callers (`http_server`, `http_client`), and the verdict on whether a request may have been executed
-(`verdict`).
+Typed messages in frames over persistent connections (`link`, `link_pool`, `peer_server`), HTTP/1.1 for
+clients and workers (`http_server`, `http_client`), and the classification of attempts by whether the request
+may have been executed (`verdict`).
 """
 
 from sableford.transport.errors import (
--- a/sableford/transport/call_tree.py
+++ b/sableford/transport/call_tree.py
@@ -1,4 +1,4 @@
-"""Which call is meant: a tree of matchers over method and path.
+"""Maps the method and path of a request to an API call, by a tree of path segments.
 
 >>> leave = {ANY: {"leave": {"POST": "leave"}}}
 >>> tree = Tree({"v1": {"config": {"read": {"GET": "read"}}, "instances": leave}})
@@ -11,24 +11,26 @@
 from typing import Any
 from urllib.parse import unquote
 
-ANY = "*"  # a part of the path that the call is given
+ANY = "*"  # matches any path segment, which is passed to the call
 
 
 class Tree:
+    """`branches` maps path segments to subtrees, and methods to calls."""
+
     def __init__(self, branches: dict[str, Any]) -> None:
         self._branches = branches
 
     def find(self, method: str, path: str) -> tuple[Any, list[str]]:
-        """The leaf and the parts that ANY stood for; 404 or 405 where there is none."""
-        at, given = self._branches, []
-        for part in path.strip("/").split("/"):
-            if part in at and part != ANY and isinstance(at[part], dict):
-                at = at[part]
-            elif ANY in at:
-                given.append(unquote(part))
-                at = at[ANY]
+        """The call and the path segments that ANY matched, or 404 or 405 if there is none."""
+        branch, matched = self._branches, []
+        for segment in path.strip("/").split("/"):
+            if segment in branch and segment != ANY and isinstance(branch[segment], dict):
+                branch = branch[segment]
+            elif ANY in branch:
+                matched.append(unquote(segment))
+                branch = branch[ANY]
             else:
                 return 404, []
-        if method in at and not isinstance(at[method], dict):
-            return at[method], given
-        return (405, []) if any(not isinstance(leaf, dict) for leaf in at.values()) else (404, [])
+        if method in branch and not isinstance(branch[method], dict):
+            return branch[method], matched
+        return (405, []) if any(not isinstance(leaf, dict) for leaf in branch.values()) else (404, [])
--- a/sableford/transport/errors.py
+++ b/sableford/transport/errors.py
@@ -1,37 +1,37 @@
-"""What can go wrong between two processes. Each error says whether the other side may have acted."""
+"""Errors between two processes. Each tells whether the peer may have executed the request."""
 
 from sableford.transport.verdict import Execution
 
 
 class TransportError(Exception):
-    """The base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class MalformedFrameError(TransportError):
-    """What came is no frame; the connection can't be trusted any further."""
+    """The received bytes are not a frame; the rest of the connection can't be parsed."""
 
 
 class CallError(TransportError, ConnectionError):
-    """A call that got no complete response. `execution` says what that proves."""
+    """A call got no complete response. `execution` tells whether it may have been executed."""
 
     execution = Execution.UNKNOWN
 
 
 class NotSentError(CallError):
-    """Not one byte of the call was handed to its connection: the other side has not heard of it."""
+    """No byte of the call was written to the connection: the peer has not received it."""
 
     execution = Execution.NOT_RUN
 
 
 class UnansweredError(CallError):
-    """The call was handed to its connection and got no complete response: it may have been executed."""
+    """The call was written to the connection and got no complete response: it may have been executed."""
 
 
 class MalformedResponseError(CallError):
-    """A response came that is not of the form that the call asks for: it may have been executed."""
+    """The response can't be decoded: the call may have been executed."""
 
 
 class UnknownOperationError(CallError):
-    """The other side does not know such an operation: it has done nothing."""
+    """The peer does not know the operation, and has done nothing."""
 
     execution = Execution.NOT_RUN
--- a/sableford/transport/frames.py
+++ b/sableford/transport/frames.py
@@ -1,5 +1,5 @@
-"""Frames between the system's own processes: a netstring of JSON, and behind it a second netstring where the
-frame carries a body, bytes that are no text, which JSON would make a third larger.
+"""Frames between processes: a netstring of JSON, followed by a second netstring if the frame carries a body.
+A body is binary; encoded in JSON it would be a third larger.
 
     >>> reader = FrameReader()
     >>> [(one.head, one.body) for one in reader.feed(encode_frame(b'{"op":"put"}', b"xyz"))]
@@ -18,9 +18,9 @@
 
 from sableford.transport.errors import MalformedFrameError
 
-MAX_NETSTRING_BYTES = 16_777_216  # far over the largest body or snapshot, far under the memory
-MAX_LENGTH_DIGITS = 9  # of a netstring's length; more is no frame
-MAX_CALL_NUMBER = 2**53 - 1  # what JSON carries exactly between all versions
+MAX_NETSTRING_BYTES = 16_777_216  # far above the largest body or snapshot, far below the memory limit
+MAX_LENGTH_DIGITS = 9  # of a netstring's length
+MAX_CALL_NUMBER = 2**53 - 1  # the largest integer that JSON numbers represent exactly
 COMMA = ord(",")
 
 CallNumber = Annotated[int, msgspec.Meta(ge=1, le=MAX_CALL_NUMBER)]
@@ -28,17 +28,17 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """What each frame's head says of itself; the other fields belong to its message."""
+    """The fields of a frame's head that belong to the protocol; the others belong to the message."""
 
-    operation: str = msgspec.field(name="op", default="")  # none in a response
-    call_number: CallNumber | None = msgspec.field(name="q", default=None)  # where a response is wanted
-    responds_to: CallNumber | None = msgspec.field(name="a", default=None)  # the call that this answers
+    operation: str = msgspec.field(name="op", default="")  # empty in a response
+    call_number: CallNumber | None = msgspec.field(name="q", default=None)  # set if a response is expected
+    responds_to: CallNumber | None = msgspec.field(name="a", default=None)  # the call's number, in a response
     body_size: BodySize = msgspec.field(name="raw", default=0)  # bytes that follow the head
     refusal: str | None = msgspec.field(name="no", default=None)  # why a call was not carried out
 
 
 class Frame(NamedTuple):
-    """One frame as it came. `head` is the JSON object that holds the envelope and the message's fields."""
+    """One received frame. `head` is the JSON object with the fields of the envelope and the message."""
 
     envelope: Envelope
     head: bytes
@@ -49,7 +49,7 @@
 
 
 def read_envelope(head: bytes) -> Envelope:
-    """What a head says of itself. Raises MalformedFrameError.
+    """Decodes the envelope of a head. Raises MalformedFrameError.
 
     >>> read_envelope(b'{"op":"put","q":7,"shard":3}').call_number
     7
@@ -65,7 +65,7 @@
 
 
 def with_field(head: bytes, name: bytes, number: int) -> bytes:
-    """A JSON object with one more field.
+    """Appends an integer field to an encoded JSON object.
 
     >>> with_field(b"{}", b"a", 1), with_field(b'{"x":0}', b"q", 2)
     (b'{"a":1}', b'{"x":0,"q":2}')
@@ -77,7 +77,7 @@
 def encode_frame(
     head: bytes, body: bytes = b"", call_number: int | None = None, responds_to: int | None = None
 ) -> bytes:
-    """The bytes of one frame. `head`: a JSON object without the envelope's numbers."""
+    """Encodes one frame. `head`: a JSON object without the numbers of the envelope."""
     if call_number is not None:
         head = with_field(head, b"q", call_number)
     if responds_to is not None:
@@ -89,22 +89,22 @@
 
 
 class FrameReader:
-    """Reads frames from bytes as they come."""
+    """Incremental parser of frames."""
 
     __slots__ = ("_buffer", "_pending")
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._pending: Frame | None = None  # its head has come, its body has not
+        self._pending: Frame | None = None  # head received, body outstanding
 
     def feed(self, data: bytes) -> list[Frame]:
-        """All frames that are complete by now. Raises MalformedFrameError."""
+        """Adds received data and returns the frames that it completes. Raises MalformedFrameError."""
         self._buffer += data
         frames: list[Frame] = []
         position = 0
         while (end := self._netstring_end(position)) is not None:
             start = self._buffer.index(b":", position) + 1
-            frame = self._take(bytes(self._buffer[start:end]))
+            frame = self._add_netstring(bytes(self._buffer[start:end]))
             if frame is not None:
                 frames.append(frame)
             position = end + 1
@@ -113,34 +113,36 @@
         return frames
 
     def _netstring_end(self, position: int) -> int | None:
-        """Where the netstring that begins there has its comma; None where it is not complete."""
+        """The position of the comma of the netstring at `position`, or None if it is incomplete."""
         buffer = self._buffer
         colon = buffer.find(b":", position, position + MAX_LENGTH_DIGITS + 1)
         if colon < 0:
             if len(buffer) - position > MAX_LENGTH_DIGITS:
-                raise MalformedFrameError("no length")
+                raise MalformedFrameError("the length of a netstring is missing or invalid")
             return None
         digits = buffer[position:colon]
         if not digits.isdigit():
-            raise MalformedFrameError("no length")
+            raise MalformedFrameError("the length of a netstring is missing or invalid")
         size = int(digits)
         if size > MAX_NETSTRING_BYTES:
-            raise MalformedFrameError("a length beyond measure")
+            raise MalformedFrameError(
+                f"a netstring of {size} bytes exceeds the limit of {MAX_NETSTRING_BYTES}"
+            )
         end = colon + 1 + size
         if len(buffer) <= end:
             return None
         if buffer[end] != COMMA:
-            raise MalformedFrameError("no comma")
+            raise MalformedFrameError("a netstring does not end with a comma")
         return end
 
-    def _take(self, part: bytes) -> Frame | None:
-        """The frame that this netstring completes."""
+    def _add_netstring(self, payload: bytes) -> Frame | None:
+        """Handles one netstring; returns the frame that it completes, if any."""
         if self._pending is not None:
             pending, self._pending = self._pending, None
-            if pending.envelope.body_size != len(part):
-                raise MalformedFrameError("as many bytes as its head says don't follow")
-            return pending._replace(body=part)
-        frame = Frame(read_envelope(part), part)
+            if pending.envelope.body_size != len(payload):
+                raise MalformedFrameError("the size of the body differs from the one in the head")
+            return pending._replace(body=payload)
+        frame = Frame(read_envelope(payload), payload)
         if frame.envelope.body_size:
             self._pending = frame
             return None
--- a/sableford/transport/http.py
+++ b/sableford/transport/http.py
@@ -1,14 +1,14 @@
-"""Requests and answers of HTTP/1.1, as the server's side (`http_server`) knows them."""
+"""HTTP/1.1 requests and responses on the server side (`http_server`)."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
 from typing import NamedTuple
 
-BODILESS = (204, 304)  # statuses whose answer ends with its head, whatever length it names (RFC 9110, 6.4.1)
+BODILESS = (204, 304)  # statuses whose response has no body, whatever its Content-Length (RFC 9110, 6.4.1)
 
 
 class Answer(NamedTuple):
-    """A complete answer; `kind` is its content type."""
+    """A complete response; `kind` is its content type."""
 
     status: int
     body: bytes = b""
@@ -17,16 +17,16 @@
 
 
 class Bounds:
-    """What one connection may ask for; the operator's configuration changes it in place."""
+    """The limits of a connection. They are changed in place when the configuration changes."""
 
     def __init__(self) -> None:
         self.head, self.body = 16_384, 262_144  # bytes
         self.head_ms, self.idle_ms = 3000.0, 15_000.0
-        self.closing = False  # each answer ends its connection
+        self.closing = False  # each response closes its connection
 
 
 class Request:
-    """A whole request. `headers` are those before the body, names in small letters; trailers are left out."""
+    """A complete request. `headers` have lower-case names; trailers are not included."""
 
     __slots__ = ("body", "headers", "keep", "method", "target")
 
@@ -36,19 +36,19 @@
         self.method, self.target, self.headers, self.body, self.keep = method, target, headers, body, keep
 
     def get(self, name: bytes) -> str | None:
-        """The value of a header that is named in small letters; of several the first."""
+        """The first value of a header, or None. `name` is lower case."""
         for given, value in self.headers:
             if given == name:
                 return value.decode("latin-1")
         return None
 
     def count(self, name: bytes) -> int:
-        """How often a header is given."""
+        """How often a header occurs."""
         return sum(given == name for given, _ in self.headers)
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
@@ -56,7 +56,7 @@
 
 
 def answer_bytes(answer: Answer, keep: bool, method: str = "GET") -> bytes:
-    """One whole answer; to HEAD, and with a status that has no body, its head only.
+    """Encodes a response; without its body for HEAD and for statuses that have none.
 
     >>> answer_bytes(Answer(204, b"left out"), True)
     b'HTTP/1.1 204 No Content\\r\\n\\r\\n'
--- a/sableford/transport/http_client.py
+++ b/sableford/transport/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 by httptools towards workers: one connection, one exchange at a time.
+"""HTTP/1.1 client for workers, based on httptools: one exchange at a time per connection.
 
-An answer counts when it is whole: by its length, by its last chunk, or, where it names neither, by an end of
-the connection in order. Whatever comes beside the one answer that is waited for ends the connection.
+A response is complete by its length, its last chunk or, if it has neither, an orderly end of the connection.
+Any data besides the one expected response closes the connection.
 """
 
 import asyncio
@@ -12,19 +12,19 @@
 from sableford.transport.errors import CallError, NotSentError, UnansweredError
 from sableford.transport.http import BODILESS
 
-MAX_HEAD_BYTES = (
-    65_536  # bytes of an answer's head, trailers and answers before the last; a worker's are some 300
-)
-IDLE_S = 4.0  # how long a connection rests at a worker that does not say
-IDLE_PART, IDLE_LESS_S = 0.8, 0.3  # of what it says, less some turns of a loaded loop: it may be closing then
-IDLE_SHORT_S = 0.2  # where that leaves nothing: half of the time, or so much
+MAX_HEAD_BYTES = 65_536  # of the head, trailers and interim responses; those of a worker have some 300
+IDLE_TIMEOUT_S = 4.0  # keep-alive time of a worker that does not announce one
+# A connection is reused for this part of the announced time, less a few iterations of a loaded event loop:
+# later the worker may be closing it.
+IDLE_FRACTION, IDLE_MARGIN_S = 0.8, 0.3
+MIN_IDLE_S = 0.2  # lower limit of that time, or half of the announced time if that is shorter
 
 
 class Response(NamedTuple):
-    """A worker's whole answer. Its body was read to the end and thrown away: nobody asks for it."""
+    """A complete response. Its body was read and discarded: it is not used."""
 
     status: int
-    headers: dict[bytes, bytes]  # in small letters; those named more than once joined by commas
+    headers: dict[bytes, bytes]  # lower-case names; repeated headers are joined by commas
 
 
 class ClientConnection(asyncio.Protocol):
@@ -37,128 +37,132 @@
         self.closed = False
         self.used = 0
         self.idle_since = self._loop.time()
-        self.idle_s = IDLE_S
+        self.idle_s = IDLE_TIMEOUT_S
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def ask(self, request: bytes) -> "asyncio.Future[Response]":
-        """A future of a Response; NotSentError if nothing was written, UnansweredError if no whole answer
-        came."""
+        """Sends a request and returns a future of its Response.
+
+        The future fails with NotSentError if nothing was written, and with UnansweredError if no complete
+        response was received."""
         self._future = self._loop.create_future()
         if self.closed or self.transport is None or self.transport.is_closing():
-            self._future.set_exception(NotSentError("the connection had ended"))
+            self._future.set_exception(NotSentError("the connection is closed"))
             return self._future
         self._parser = httptools.HttpResponseParser(self)
-        self._begin()
-        self._size = 0
+        self._reset()
+        self._head_bytes = 0
         self.used += 1
         self.transport.write(request)
         return self._future
 
-    def _waits(self) -> bool:
+    def _is_waiting(self) -> bool:
         return self._future is not None and not self._future.done()
 
     def _fail(self, problem: CallError) -> None:
         if self._future is not None and not self._future.done():
             self._future.set_exception(problem)
 
-    # What the transport calls
+    # Callbacks of the transport
 
     def data_received(self, data: bytes) -> None:
-        if not self._waits():
-            self.drop()  # bytes that nobody asked for: an answer sent later, or twice
+        if not self._is_waiting():
+            self.drop()  # unexpected data: a late or repeated response
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as problem:
-            self._failed(f"no answer in the protocol: {problem}")
+            self._abort(f"invalid HTTP response: {problem}")
             return
-        if self._waits() and not self._head_whole:
-            self._size += len(data)
-            if self._size > MAX_HEAD_BYTES:
-                self._failed("the head of an answer does not end")
+        if self._is_waiting() and not self._head_complete:
+            self._head_bytes += len(data)
+            if self._head_bytes > MAX_HEAD_BYTES:
+                self._abort(f"the head of the response exceeds {MAX_HEAD_BYTES} bytes")
 
     def eof_received(self) -> bool:
-        """The worker writes no more: this completes an answer that names no other end."""
-        if self._waits() and self._head_whole and self._until_end:
+        """The worker has closed its side: this completes a response without a length."""
+        if self._is_waiting() and self._head_complete and self._ends_at_eof:
             self.closed = True
-            self._done()
+            self._finish()
         return False
 
     def connection_lost(self, problem: Exception | None) -> None:
         self.closed = True
-        self._fail(UnansweredError(f"ended: {problem}" if problem else "ended"))
+        self._fail(UnansweredError(f"connection lost: {problem}" if problem else "connection lost"))
 
-    # What the parser calls
+    # Callbacks of the parser
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self._headers: dict[bytes, bytes] = {}
-        self._head_whole = self._until_end = False
+        self._head_complete = self._ends_at_eof = False
 
     def on_message_begin(self) -> None:
-        """Each answer has headers of its own; one behind another is nobody's, and spoils the connection."""
-        if self._waits():
-            self._begin()
+        """Starts with empty headers. A response after the expected one makes the connection unusable."""
+        if self._is_waiting():
+            self._reset()
         else:
             self.closed = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._head_whole or not self._waits():
-            return  # a trailer, or of an answer behind the last
+        if self._head_complete or not self._is_waiting():
+            return  # a trailer, or part of an unexpected response
         name = name.lower()
-        known = self._headers.get(name)
-        self._headers[name] = value if known is None else known + b", " + value
+        previous = self._headers.get(name)
+        self._headers[name] = value if previous is None else previous + b", " + value
 
     def on_headers_complete(self) -> None:
-        self._head_whole = True
-        coding = self._headers.get(b"transfer-encoding", b"").lower()
+        self._head_complete = True
+        transfer_encoding = self._headers.get(b"transfer-encoding", b"").lower()
         status = self._parser.get_status_code()
         bodiless = status < 200 or status in BODILESS
-        sized = b"content-length" in self._headers or coding.rpartition(b",")[2].strip() == b"chunked"
-        self._until_end = not bodiless and not sized
+        has_length = (
+            b"content-length" in self._headers or transfer_encoding.rpartition(b",")[2].strip() == b"chunked"
+        )
+        self._ends_at_eof = not bodiless and not has_length
 
     def on_message_complete(self) -> None:
-        if not self._waits():
+        if not self._is_waiting():
             return
         if self._parser.get_status_code() < 200:
-            return  # the answer is still to come
+            return  # an interim response
         if not self._parser.should_keep_alive() or self._unsent_bytes():
-            self.closed = True  # the worker ends it, or did not want all of the request
-        self._done()
+            self.closed = True  # the worker closes it, or has not read the whole request
+        self._finish()
 
     def _unsent_bytes(self) -> int:
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
-    def _done(self) -> None:
-        self._note_idle_time()
+    def _finish(self) -> None:
+        self._read_keep_alive()
         self.idle_since = self._loop.time()
         if self._future is not None:
             self._future.set_result(Response(self._parser.get_status_code(), self._headers))
 
-    def _note_idle_time(self) -> None:
-        said = self._headers.get(b"keep-alive", b"").lower()
-        if said.startswith(b"timeout="):
-            digits = said[8:].split(b",")[0].strip()
+    def _read_keep_alive(self) -> None:
+        keep_alive = self._headers.get(b"keep-alive", b"").lower()
+        if keep_alive.startswith(b"timeout="):
+            digits = keep_alive[8:].split(b",")[0].strip()
             self.idle_s = float(digits) if digits.replace(b".", b"", 1).isdigit() else self.idle_s
 
-    # Ends
+    # Closing
 
-    def _failed(self, why: str) -> None:
-        self._fail(UnansweredError(why))
+    def _abort(self, reason: str) -> None:
+        self._fail(UnansweredError(reason))
         self.drop()
 
     def usable(self) -> bool:
-        """Whether it may carry one more: not where its worker may be closing it at this moment."""
-        rest = self._loop.time() - self.idle_since
-        least = min(IDLE_SHORT_S, self.idle_s / 2.0)
-        most = max(least, self.idle_s * IDLE_PART - IDLE_LESS_S)
+        """Whether another request may be sent: not if the worker may be closing the connection."""
+        idle_for_s = self._loop.time() - self.idle_since
+        min_idle_s = min(MIN_IDLE_S, self.idle_s / 2.0)
+        max_idle_s = max(min_idle_s, self.idle_s * IDLE_FRACTION - IDLE_MARGIN_S)
         if self.transport is None or self.transport.is_closing() or self.closed:
             return False
-        return not self._waits() and rest < most
+        return not self._is_waiting() and idle_for_s < max_idle_s
 
     def drop(self) -> None:
-        """At once, whatever is under way."""
+        """Closes the connection at once, even during an exchange."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
--- a/sableford/transport/http_server.py
+++ b/sableford/transport/http_server.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 by httptools for callers from outside.
+"""HTTP/1.1 server for external clients, based on httptools.
 
-`HttpServer` is a listening address whose handler gives an answer or an awaitable of one. The requests of one
-connection are answered in their order, one at a time; an answer belongs to the connection its request came on
-and is thrown away with it. What can't be read for certain is refused and ends the connection, so that nothing
-behind it is taken for a request.
+The handler of an `HttpServer` returns a response or an awaitable of one. The requests of a connection are
+handled in order, one at a time; if the connection is lost, its outstanding response is discarded. A malformed
+or ambiguous request is refused and closes the connection, so that data after it is never parsed as a request
+(request smuggling).
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 
 from sableford.transport.http import Answer, Bounds, Handler, Request, answer_bytes
 
-SWEEP_S = 0.5  # between two looks for connections that have idled or dawdle
-MAX_QUEUED = 16  # requests of one connection read ahead; then it is read no further
-MAX_CHUNK_OVERHEAD = 8  # bytes sent for one of the body: more than chunks of one byte each take
+SWEEP_S = 0.5  # between two checks for idle and slow connections
+MAX_QUEUED = 16  # pipelined requests of a connection; with more of them reading pauses
+MAX_CHUNK_OVERHEAD = 8  # bytes sent per byte of the body: more than chunks of one byte each need
 
 
-WHITE_SPACE = b" \t"  # around a value, and no part of it (RFC 9110, section 5.5)
+WHITE_SPACE = b" \t"  # around a value; not part of it (RFC 9110, section 5.5)
 
 
 class RequestRefusedError(Exception):
-    """A request that is not read any further; its argument is the status."""
+    """Stops the parsing of a request; the argument is the status."""
 
 
 class HttpServer:
-    """A listening address and its open connections."""
+    """A listener and its open connections."""
 
     def __init__(self, handle: Handler, bounds: Bounds) -> None:
         self.handle, self.bounds = handle, bounds
@@ -37,13 +37,13 @@
         self._sweeper: asyncio.TimerHandle | None = None
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """From now on callers are served."""
+        """Starts to accept connections."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: ServerConnection(self), *address, backlog=1024)
         self._sweeper = loop.call_later(SWEEP_S, self._sweep)
 
     def shut(self) -> None:
-        """No new connections; those that wait for nothing end, the others once they are answered."""
+        """Accepts no new connections. Closes idle connections now, and the others after their responses."""
         if self._server is not None:
             self._server.close()
         self.bounds.closing = True
@@ -51,7 +51,7 @@
             connection.end_if_idle()
 
     def busy(self) -> int:
-        """How many connections owe an answer."""
+        """The number of connections with a request in flight."""
         return sum(connection.busy() for connection in self.open)
 
     def _sweep(self) -> None:
@@ -63,35 +63,36 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of a caller."""
+    """One connection of a client."""
 
-    transport: asyncio.Transport  # from `connection_made` on
+    transport: asyncio.Transport  # set by `connection_made`
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
         self._parser = httptools.HttpRequestParser(self)
         self._loop = asyncio.get_running_loop()
-        self._waiting: deque[Request] = deque()
-        self._waiting_bytes = 0  # of their bodies
-        self._begun = 0  # requests that have begun to come
-        self._task: asyncio.Task[None] | None = None  # answers the request whose turn it is
-        self._since = self._loop.time()  # nothing under way, or the head begun, since then
-        self._reading = False  # a request has begun to come
-        self._read_all = False  # no further request is taken from this connection
-        self._refusal = 0  # status for what can't be read, once all before it is answered
+        self._queued: deque[Request] = deque()
+        self._queued_bytes = 0  # of the queued bodies
+        self._requests_begun = 0  # requests whose first bytes were received
+        self._task: asyncio.Task[None] | None = None  # handles the current request
+        self._state_since = self._loop.time()  # start of the idle time, or of the current request
+        self._receiving = False  # a request is partly received
+        self._input_ended = False  # further data of this connection is ignored
+        self._refusal = 0  # status for a malformed request, sent after the responses to earlier ones
         self._closed = False
-        self._writable = True  # the caller takes what is written
-        self._begin()
+        self._writable = True  # false while the send buffer is full
+        self._reset()
 
-    def _begin(self) -> None:
-        self._url, self._size = b"", 0
-        self._head: list[tuple[bytes, bytes]] = []
-        self._body: list[bytes] = []
-        self._length = self._came = 0  # of its body; in all, behind the data that it began in
-        self._head_whole = False
-        self._refuse_with = 0
+    def _reset(self) -> None:
+        self._url, self._head_bytes = b"", 0
+        self._header_list: list[tuple[bytes, bytes]] = []
+        self._body_parts: list[bytes] = []
+        # Of the body; of all data after the read in which the request began.
+        self._body_bytes = self._received_bytes = 0
+        self._head_complete = False
+        self._parse_refusal = 0
 
-    # What the transport calls
+    # Callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -99,165 +100,166 @@
 
     def connection_lost(self, problem: Exception | None) -> None:
         self._closed = True
-        self._waiting.clear()
+        self._queued.clear()
         self.server.open.discard(self)
 
     def eof_received(self) -> bool:
-        """The caller sends no more; what it sent whole is still answered."""
-        self._read_all = True
-        self._reading = False
+        """The client has closed its side; complete requests are still answered."""
+        self._input_ended = True
+        self._receiving = False
         return self.busy()
 
     def pause_writing(self) -> None:
-        self._writable, self._since = False, self._loop.time()
+        self._writable, self._state_since = False, self._loop.time()
 
     def resume_writing(self) -> None:
         self._writable = True
         if self._task is None:
-            self._next()
+            self._handle_queued()
 
     def data_received(self, data: bytes) -> None:
-        if self._closed or self._read_all:
+        if self._closed or self._input_ended:
             return
-        if not self._reading:
-            self._reading, self._since = True, self._loop.time()
-        began = self._begun
+        if not self._receiving:
+            self._receiving, self._state_since = True, self._loop.time()
+        begun_before = self._requests_begun
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as problem:
-            own = isinstance(problem, httptools.HttpParserCallbackError)
-            self._refuse(self._refuse_with or (500 if own else 400))
+            is_own_callback = isinstance(problem, httptools.HttpParserCallbackError)
+            self._refuse(self._parse_refusal or (500 if is_own_callback else 400))
         else:
-            self._count(len(data), began)
-        if self._full() and not self.transport.is_closing():
+            self._check_size(len(data), begun_before)
+        if self._is_queue_full() and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def _count(self, size: int, began: int) -> None:
-        """The parser keeps a header or trailer to itself until it is whole, however long that gets."""
-        if not self._reading or self._begun != began:
-            return  # what this data began is no longer than the data
-        self._came += size
+    def _check_size(self, size: int, begun_before: int) -> None:
+        """Limits the size of incomplete headers and trailers, which the parser buffers without a limit."""
+        if not self._receiving or self._requests_begun != begun_before:
+            return  # a request that began in this read is no longer than the read
+        self._received_bytes += size
         bounds = self.server.bounds
-        if not self._head_whole and self._came > bounds.head:
+        if not self._head_complete and self._received_bytes > bounds.head:
             self._refuse(431)
-        elif self._came > bounds.head + MAX_CHUNK_OVERHEAD * bounds.body:
+        elif self._received_bytes > bounds.head + MAX_CHUNK_OVERHEAD * bounds.body:
             self._refuse(413)
 
-    def _full(self) -> bool:
-        return len(self._waiting) > MAX_QUEUED or self._waiting_bytes > self.server.bounds.body
+    def _is_queue_full(self) -> bool:
+        return len(self._queued) > MAX_QUEUED or self._queued_bytes > self.server.bounds.body
 
-    # What the parser calls
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        self._begin()
-        self._begun += 1
-        self._reading, self._since = True, self._loop.time()
+        self._reset()
+        self._requests_begun += 1
+        self._receiving, self._state_since = True, self._loop.time()
 
     def on_url(self, part: bytes) -> None:
         self._url += part
-        self._grow(len(part))
+        self._add_head_bytes(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._grow(len(name) + len(value) + 4)
-        if not self._head_whole:  # a trailer says nothing of its request
-            self._head.append((name.lower(), value.strip(WHITE_SPACE)))
+        self._add_head_bytes(len(name) + len(value) + 4)
+        if not self._head_complete:  # trailers are ignored
+            self._header_list.append((name.lower(), value.strip(WHITE_SPACE)))
 
-    def _grow(self, size: int) -> None:
-        self._size += size
-        if self._size > self.server.bounds.head:
-            self._stop(431)
+    def _add_head_bytes(self, size: int) -> None:
+        self._head_bytes += size
+        if self._head_bytes > self.server.bounds.head:
+            self._stop_parsing(431)
 
-    def _stop(self, status: int) -> None:
-        self._refuse_with = status
+    def _stop_parsing(self, status: int) -> None:
+        self._parse_refusal = status
         raise RequestRefusedError(status)
 
     def on_headers_complete(self) -> None:
-        self._head_whole = True
+        self._head_complete = True
         if self._parser.should_upgrade():
-            self._stop(400)  # what follows is of another protocol, and this request would be run before it
+            # Data of another protocol would follow, and this request would be executed.
+            self._stop_parsing(400)
         continues = False
-        for name, value in self._head:
+        for name, value in self._header_list:
             if name == b"content-length" and int(value) > self.server.bounds.body:
-                self._stop(413)
-            # Codings before the chunks would be taken off nowhere (RFC 9112, section 6.1).
+                self._stop_parsing(413)
+            # Nothing decodes other codings than chunked (RFC 9112, section 6.1).
             if name == b"transfer-encoding" and value.lower() != b"chunked":
-                self._stop(400)
+                self._stop_parsing(400)
             continues = continues or (name == b"expect" and value.lower() == b"100-continue")
-        if continues and not (self._waiting or self._task or self._closed):
+        if continues and not (self._queued or self._task or self._closed):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, part: bytes) -> None:
-        self._length += len(part)
-        if self._length > self.server.bounds.body:
-            self._stop(413)
-        self._body.append(part)
+        self._body_bytes += len(part)
+        if self._body_bytes > self.server.bounds.body:
+            self._stop_parsing(413)
+        self._body_parts.append(part)
 
     def on_message_complete(self) -> None:
         method = self._parser.get_method().decode("latin-1")
         keep = self._parser.should_keep_alive()
-        body = b"".join(self._body)
-        self._waiting.append(Request(method, self._url, self._head, body, keep))
-        self._waiting_bytes += len(body)
-        self._reading = False
+        body = b"".join(self._body_parts)
+        self._queued.append(Request(method, self._url, self._header_list, body, keep))
+        self._queued_bytes += len(body)
+        self._receiving = False
         if not keep:
-            self._read_all = True
+            self._input_ended = True
         if self._task is None:
-            self._next()
+            self._handle_queued()
 
-    # Answers, in turn
+    # Responses, in order
 
     def _refuse(self, status: int) -> None:
-        """What can't be read any further: answered once all before it is."""
-        self._read_all, self._reading, self._refusal = True, False, status
+        """Refuses the rest of the input, once all earlier requests are answered."""
+        self._input_ended, self._receiving, self._refusal = True, False, status
         if self._task is None:
-            self._next()
+            self._handle_queued()
 
-    def _next(self) -> None:
-        """Answers what waits, as far as that goes at once."""
-        while self._waiting and self._writable and not self._closed:
-            request = self._waiting.popleft()
-            self._waiting_bytes -= len(request.body)
+    def _handle_queued(self) -> None:
+        """Handles queued requests until one of them has to be awaited."""
+        while self._queued and self._writable and not self._closed:
+            request = self._queued.popleft()
+            self._queued_bytes -= len(request.body)
             try:
                 answer = self.server.handle(request)
             except Exception as problem:
-                self._failed(problem)
+                self._handler_failed(problem)
                 return
             if not isinstance(answer, Answer):
-                self._task = self._loop.create_task(self._await(answer, request))
+                self._task = self._loop.create_task(self._respond_later(answer, request))
                 return
             if not self._write(answer, request.keep, request.method):
                 return
-        if not self._closed and not self._waiting:
-            self._rest()
+        if not self._closed and not self._queued:
+            self._finish_queue()
 
-    def _rest(self) -> None:
-        """All that came whole is answered."""
+    def _finish_queue(self) -> None:
+        """All complete requests are answered: sends a pending refusal, closes, or resumes reading."""
         if self._refusal:
             self._write(Answer(self._refusal), False)
-        elif self._read_all:
+        elif self._input_ended:
             self._close()
         elif not self.transport.is_closing():
-            self._since = self._loop.time()
+            self._state_since = self._loop.time()
             self.transport.resume_reading()
 
-    async def _await(self, answer: Awaitable[Answer], request: Request) -> None:
+    async def _respond_later(self, answer: Awaitable[Answer], request: Request) -> None:
         try:
-            got = await answer
+            response = await answer
         except Exception as problem:
             self._task = None
-            self._failed(problem)
+            self._handler_failed(problem)
             return
         self._task = None
-        if self._write(got, request.keep, request.method):
-            self._next()
+        if self._write(response, request.keep, request.method):
+            self._handle_queued()
 
-    def _failed(self, problem: Exception) -> None:
-        """The program's own fault: nothing is promised, and it is said."""
+    def _handler_failed(self, problem: Exception) -> None:
+        """Logs an exception of the handler and responds with 500."""
         self._loop.call_exception_handler({"message": "a request failed", "exception": problem})
         self._write(Answer(500), False)
 
     def _write(self, answer: Answer, keep: bool, method: str = "") -> bool:
-        """Whether the connection goes on."""
+        """Writes a response; returns whether the connection stays open."""
         keep = keep and not self.server.bounds.closing
         if self._closed or self.transport.is_closing():
             return False
@@ -267,34 +269,34 @@
         return keep
 
     def _close(self) -> None:
-        self._closed, self._since = True, self._loop.time()
-        self._waiting.clear()
+        self._closed, self._state_since = True, self._loop.time()
+        self._queued.clear()
         self.transport.close()
 
-    # Ends
+    # Closing
 
     def busy(self) -> bool:
-        """Whether an answer is owed, or a request is coming."""
-        owes = self._task is not None or bool(self._waiting) or bool(self._refusal)
-        return not self._closed and (owes or self._reading)
+        """Whether a response is outstanding, or a request is partly received."""
+        owes_response = self._task is not None or bool(self._queued) or bool(self._refusal)
+        return not self._closed and (owes_response or self._receiving)
 
     def end_if_idle(self) -> None:
-        """Ends unless an answer is owed."""
+        """Closes the connection unless it is busy."""
         if not self.busy():
             self._close()
 
     def look(self, now: float) -> None:
-        """Ends what idles, and who takes no answers; a request that comes too slowly is told so."""
-        waited = (now - self._since) * 1000.0
+        """Closes an idle connection and one that reads no responses; refuses a slow request with 408."""
+        elapsed_ms = (now - self._state_since) * 1000.0
         bounds = self.server.bounds
         if self._closed or not self._writable:
-            if waited > bounds.idle_ms:  # what was written is not taken
+            if elapsed_ms > bounds.idle_ms:  # the client does not read its responses
                 self._close()
                 self.transport.abort()
             return
-        if self._task is not None or self._waiting:
+        if self._task is not None or self._queued:
             return
-        if self._reading and waited > bounds.head_ms:
+        if self._receiving and elapsed_ms > bounds.head_ms:
             self._refuse(408)
-        elif not self._reading and waited > bounds.idle_ms:
+        elif not self._receiving and elapsed_ms > bounds.idle_ms:
             self.end_if_idle()
--- a/sableford/transport/link.py
+++ b/sableford/transport/link.py
@@ -1,5 +1,5 @@
-"""One held connection between two of the system's own processes, whoever dialled it: typed messages one way,
-and calls that are matched to their responses by number.
+"""A persistent connection between two processes, in either direction: one-way typed messages, and calls whose
+responses are matched by number.
 """
 
 import asyncio
@@ -30,8 +30,8 @@
 from sableford.transport.pending_calls import PendingCalls
 from sableford.transport.verdict import Execution
 
-USER_TIMEOUT_MS = 1600.0  # bytes that are not acknowledged for so long end the connection
-MAX_BACKLOG_BYTES = 8_388_608  # waiting to leave: the other side does not read
+USER_TIMEOUT_MS = 1600.0  # TCP_USER_TIMEOUT: unacknowledged data closes the connection
+MAX_BACKLOG_BYTES = 8_388_608  # unsent data; a peer that reads so little is disconnected
 PING, PONG = "ping", "pong"
 
 Request = TypeVar("Request", bound=PeerMessage)
@@ -43,14 +43,14 @@
 
 
 class Response(NamedTuple, Generic[ResponseType]):
-    """What a call was answered."""
+    """The response to a call."""
 
     message: ResponseType
     body: bytes = b""
 
 
 class CallResult(NamedTuple, Generic[ResponseType]):
-    """What came of a call: DONE with its response; NOT_RUN or UNKNOWN without one."""
+    """The result of a call: DONE with a response, NOT_RUN or UNKNOWN without one."""
 
     execution: Execution
     message: ResponseType | None = None
@@ -58,7 +58,7 @@
 
 
 class IncomingMessage(Generic[Request]):
-    """A message as it came, and the way to answer it."""
+    """A received message, and how to respond to it."""
 
     __slots__ = ("_call_number", "body", "link", "message")
 
@@ -69,16 +69,16 @@
 
     @property
     def sender(self) -> str:
-        """The name of the process that sent it."""
+        """The name of the sending process."""
         return self.link.peer
 
     def respond(self, response: PeerResponse, body: bytes = b"") -> None:
-        """On the connection that the message came on; nobody waits for it on another."""
+        """Responds to a call on the connection that it came from. Does nothing for a one-way message."""
         if self._call_number is not None:
             self.link.send_response(self._call_number, response, body)
 
 
-_decoders: dict[type, msgspec.json.Decoder[Any]] = {}  # made once for each type
+_decoders: dict[type, msgspec.json.Decoder[Any]] = {}  # by type
 
 
 def _decoder(message_type: type) -> msgspec.json.Decoder[Any]:
@@ -89,13 +89,13 @@
 
 
 def decode_message(message_type: type[Request], frame: Frame) -> Request:
-    """The message that a frame carries. Raises msgspec.ValidationError."""
+    """Decodes the message of a frame. Raises msgspec.ValidationError."""
     message: Request = _decoder(message_type).decode(frame.head)
     return message
 
 
 def response_decoder(response_type: type[PeerResponse]) -> Callable[[Frame], Response[Any]]:
-    """What makes a response of that type from a frame, or raises CallError."""
+    """Returns a function that decodes a frame into a response of that type, or raises CallError."""
 
     def decode(frame: Frame) -> Response[Any]:
         if frame.envelope.refusal == UNKNOWN_OPERATION:
@@ -109,7 +109,8 @@
 
 
 class Link(asyncio.Protocol):
-    """One connection. `receive(link, frame)` gets what is no response, `on_lost(link)` its end."""
+    """One connection. `receive(link, frame)` is called for each message that is not a response or a ping, and
+    `on_lost(link)` when the connection ends."""
 
     def __init__(
         self, receive: Callable[["Link", Frame], None], on_lost: Callable[["Link"], object] | None = None
@@ -118,13 +119,13 @@
         self._reader, self._loop = FrameReader(), asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self._pending = PendingCalls()
-        self.peer = ""  # its name, once it has said it
+        self.peer = ""  # its name, known after the hello
         self.incarnation = ""  # of the peer's process
-        self._heard_at = self._loop.time()
+        self._received_at = self._loop.time()
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]  # a stream's, since this is a stream protocol
+        self.transport = transport  # type: ignore[assignment]  # a stream transport, since this is a stream protocol
         sock = transport.get_extra_info("socket")
         if sock is not None:
             with suppress(OSError):
@@ -132,9 +133,9 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def data_received(self, data: bytes) -> None:
-        """A message that can't be taken ends the connection: what depends on it is then asked for anew, and
-        nothing after it is applied as if it had been."""
-        self._heard_at = self._loop.time()
+        """Handles received frames. A message that can't be handled closes the connection, so that no later
+        message is applied without it; the peers then synchronize anew."""
+        self._received_at = self._loop.time()
         try:
             frames = self._reader.feed(data)
         except MalformedFrameError as problem:
@@ -172,23 +173,22 @@
             self._on_lost(self)
 
     def identify(self, name: str, incarnation: str) -> bool:
-        """Whether this may be the peer: a connection has the same one, in the same incarnation, to its
-        end."""
+        """Sets the identity of the peer; returns False if it differs from the one set before."""
         if self.incarnation and (self.peer, self.incarnation) != (name, incarnation):
             return False
         self.peer, self.incarnation = name, incarnation
         return True
 
     def send(self, message: PeerMessage, body: bytes = b"") -> bool:
-        """Whether it was handed to the connection; it may still be lost."""
+        """Sends a one-way message; returns whether it was written. It may still be lost."""
         return self._write(encode_frame(_encode(message), body))
 
     def send_response(self, call_number: int, response: PeerResponse, body: bytes = b"") -> bool:
-        """The answer to a call of the peer."""
+        """Sends the response to a call of the peer."""
         return self._write(encode_frame(_encode(response), body, responds_to=call_number))
 
     def ping(self) -> None:
-        """Asks for a sign of life."""
+        """Sends a ping, to which the peer replies."""
         self._write(_PING_FRAME)
 
     def _write(self, data: bytes) -> bool:
@@ -203,22 +203,23 @@
     def request(
         self, request: PeerRequest[ResponseType], body: bytes = b""
     ) -> "asyncio.Future[Response[ResponseType]]":
-        """A future of the response; it fails with a CallError.
+        """Sends a request and returns a future of the response, which fails with a CallError.
 
-        Whoever gives up waiting cancels it; a response that comes later is dropped."""
+        Cancel the future to give up; a later response is dropped."""
         future: asyncio.Future[Response[ResponseType]] = self._loop.create_future()
         number = self._pending.next_number()
         if self._write(encode_frame(_encode(request), body, call_number=number)):
             self._pending.add(number, future, response_decoder(request.response_type))
         else:
             future.set_exception(NotSentError(self.peer))
-            future.exception()  # taken as seen, whether or not anybody waits
+            future.exception()  # marks the exception as retrieved, in case nobody awaits the future
         return future
 
     async def call(
         self, request: PeerRequest[ResponseType], body: bytes, timeout_ms: float
     ) -> CallResult[ResponseType]:
-        """`request` with a time-out: a response, or whether the other side may have executed it."""
+        """Sends a request and waits for the response. Without one the result tells whether the peer may have
+        executed the request."""
         try:
             async with asyncio.timeout(timeout_ms / 1000.0):
                 response = await self.request(request, body)
@@ -229,11 +230,11 @@
         return CallResult(Execution.DONE, response.message, response.body)
 
     def silence_ms(self) -> float:
-        """Since anything was heard."""
-        return (self._loop.time() - self._heard_at) * 1000.0
+        """The time since data was last received."""
+        return (self._loop.time() - self._received_at) * 1000.0
 
     def drop(self) -> None:
-        """Ends the connection at once; calls under way fail."""
+        """Closes the connection at once; pending calls fail."""
         if self.transport is not None:
             self.transport.abort()
         self.connection_lost(None)
--- a/sableford/transport/link_pool.py
+++ b/sableford/transport/link_pool.py
@@ -1,7 +1,7 @@
-"""A held link to each process that is to be reached, dialled again for as long as it is.
+"""Maintains a link to each peer, and redials lost ones.
 
-A process knows by its steady clock how long each peer has been silent. A refused dial proves that the process
-which had that port has ended, since each holds its port as long as it lives; silence proves nothing.
+The silence of each peer is measured by the monotonic clock. A refused connection proves that the process that
+listened there has ended, since a process listens on its port until it exits. Silence proves nothing.
 """
 
 import asyncio
@@ -12,16 +12,16 @@
 from sableford.transport.link import USER_TIMEOUT_MS, Link
 from sableford.transport.messages import HelloRequest
 
-UNSCALED_LINKS = 8  # checked each interval; with more, less often by as much, so that pings stay few
-CHECK_INTERVAL_MS = 100.0  # between two looks at the links: a ping where nothing was heard for so long
-UNRESPONSIVE_MS = 220.0  # without a message: other links are preferred
+UNSCALED_LINKS = 8  # with more links all intervals grow in proportion, which bounds the rate of pings
+CHECK_INTERVAL_MS = 100.0  # between two checks; a link that was silent for so long is pinged
+UNRESPONSIVE_MS = 220.0  # without a message; then other links are preferred
 DIAL_TIMEOUT_MS = USER_TIMEOUT_MS
 REDIAL_MS = 60.0  # between two dials, doubling up to ten times as much
 MAX_REDIAL_MS = REDIAL_MS * 10.0
 
 
 class PooledLink:
-    """The link to one address, or the attempts to get it."""
+    """The link to one address, or the attempts to establish it."""
 
     __slots__ = ("address", "dialling", "link", "next_dial_at", "redial_ms")
 
@@ -33,8 +33,8 @@
 
 
 class LinkPool:
-    """`hello` is what this process says of itself. `on_up(name, link)`, `on_down(name)` and
-    `on_refused(name)` tell of changes; names are the hosts of inner addresses."""
+    """The links of this process, which introduces itself with `hello`. Changes are reported to the callbacks
+    `on_up(name, link)`, `on_down(name)` and `on_refused(name)`; names are the hosts of the peers."""
 
     def __init__(self, hello: HelloRequest, port: int, receive: Callable[[Link, Frame], None]) -> None:
         self.hello, self.port, self._receive = hello, port, receive
@@ -46,8 +46,10 @@
         self._timer = self._loop.call_later(0.0, self._check_links)
 
     def set_peers(self, names: set[str]) -> None:
-        """Just these are to be reached from now on."""
-        for name in sorted(names - self._pooled.keys()):  # not in the order of hashes
+        """Replaces the set of peers to connect to."""
+        for name in sorted(
+            names - self._pooled.keys()
+        ):  # sorted: the iteration order of a set is not deterministic
             self._pooled[name] = PooledLink((name, self.port))
         for name in sorted(self._pooled.keys() - names):
             pooled = self._pooled.pop(name)
@@ -58,18 +60,18 @@
         self._dial_due()
 
     def names(self) -> list[str]:
-        """The peers that are to be reached."""
+        """The peers to connect to."""
         return list(self._pooled)
 
     def link(self, name: str) -> Link | None:
-        """The link to a peer, if one is up."""
+        """The link to a peer, if it is up."""
         pooled = self._pooled.get(name)
         if pooled is None or pooled.link is None or pooled.link.closed or not pooled.link.incarnation:
             return None
         return pooled.link
 
     def responsive_link(self, name: str) -> Link | None:
-        """The link to a peer, if it has been heard of lately."""
+        """The link to a peer, if the peer has been heard from recently."""
         link = self.link(name)
         if link is None or link.silence_ms() >= UNRESPONSIVE_MS * self._interval_scale():
             return None
@@ -134,7 +136,7 @@
             notify_up(name, link)
 
     async def _introduce(self, name: str, link: Link) -> bool:
-        """Whether the process that was reached is the one that was dialled."""
+        """Exchanges hellos; returns whether the process that answered is the one that was dialled."""
         link.peer = name
         response = (await link.request(self.hello)).message
         is_expected = response.name in ("", name) and bool(response.incarnation)
--- a/sableford/transport/messages.py
+++ b/sableford/transport/messages.py
@@ -1,8 +1,8 @@
-"""The base types of the messages that the system's own processes send each other.
+"""Base types of the messages between processes.
 
-Each message is a msgspec struct with a tag, which stands in the JSON field `op`. A request names the type of
-its response. Unknown fields are ignored and defaults are not sent, so that versions with more or fewer fields
-understand each other.
+Each message is a msgspec struct with a tag, encoded as the JSON field `op`. A request declares the type of
+its response. Unknown fields are ignored and default values are not sent, so that versions with different
+fields are compatible.
 """
 
 from typing import ClassVar, Generic, TypeVar
@@ -11,41 +11,41 @@
 
 
 class PeerMessage(msgspec.Struct, tag_field="op", frozen=True, omit_defaults=True):
-    """A message that is not answered. Subclasses set `tag`, their operation on the wire."""
+    """A one-way message. Subclasses set `tag`, the name of their operation on the wire."""
 
 
 class PeerResponse(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The answer to a request. It has no tag: it is matched by the number of its call."""
+    """The response to a request. It has no tag, because it is matched by the number of its call."""
 
 
 ResponseType = TypeVar("ResponseType", bound=PeerResponse)
 
 
 class PeerRequest(PeerMessage, Generic[ResponseType], frozen=True):
-    """A message that is answered with a `response_type`."""
+    """A message that expects a response of type `response_type`."""
 
     response_type: ClassVar[type[PeerResponse]] = PeerResponse
 
 
 class Ping(PeerMessage, frozen=True, tag="ping"):
-    """Asks whether the connection still carries anything."""
+    """Checks that the connection still works."""
 
 
 class Pong(PeerMessage, frozen=True, tag="pong"):
-    """The answer to a ping; anything else that is heard serves as well."""
+    """The response to a ping. Any other data serves the same purpose."""
 
 
 class HelloResponse(PeerResponse, frozen=True):
-    """Who was reached."""
+    """The identity of the accepting process."""
 
     incarnation: str = msgspec.field(name="birth")
-    name: str = ""  # not sent by version 0.4 and before
+    name: str = ""  # not sent by versions up to 0.4
     version: int = msgspec.field(name="v", default=0)
 
 
 class HelloRequest(PeerRequest[HelloResponse], frozen=True, tag="hello"):
-    """Who has dialled: the first message on a connection. `incarnation` changes with each start of the
-    process."""
+    """The identity of the dialling process; the first message on a connection. `incarnation` changes with
+    each start of the process."""
 
     response_type: ClassVar[type[PeerResponse]] = HelloResponse
     name: str
@@ -55,10 +55,10 @@
 
 
 class Refusal(PeerResponse, frozen=True):
-    """Why an operation was not carried out."""
+    """The response to an operation that was not carried out."""
 
     reason: str = msgspec.field(name="no", default="")
 
 
 PROTOCOL_VERSION = 1
-UNKNOWN_OPERATION = "unknown"  # the reason of a refusal by a process that has no such operation
+UNKNOWN_OPERATION = "unknown"  # the reason of a refusal by a process that does not know the operation
--- a/sableford/transport/peer_server.py
+++ b/sableford/transport/peer_server.py
@@ -1,5 +1,5 @@
-"""What other processes reach at the inner address: connections that introduce themselves, and one handler for
-each type of message.
+"""The listener for other processes: accepts links, which start with a hello, and dispatches messages to the
+handler of their type.
 """
 
 import asyncio
@@ -18,21 +18,21 @@
     Refusal,
 )
 
-ACCEPT_BACKLOG = 512  # connections that wait to be accepted: all members of a large fleet at once
+ACCEPT_BACKLOG = 512  # connections that wait to be accepted: all members of a large cluster at once
 
 Message = TypeVar("Message", bound=PeerMessage)
 Handler = Callable[[IncomingMessage[Any]], object]
 
 
 class Registration(NamedTuple):
-    """Who handles one operation."""
+    """The handler of one operation."""
 
     message_type: type[PeerMessage]
     handler: Handler
 
 
 def operation_of(message_type: type[PeerMessage]) -> str:
-    """The tag of a message type.
+    """Returns the tag of a message type.
 
     >>> operation_of(HelloRequest)
     'hello'
@@ -41,7 +41,7 @@
 
 
 class PeerServer:
-    """`name` and `incarnation` are this process's; `handle` registers who takes which messages."""
+    """`name` and `incarnation` identify this process; `handle` registers the handlers of messages."""
 
     def __init__(self, name: str, incarnation: str, log: EventLog) -> None:
         self._name, self._incarnation, self._log = name, incarnation, log
@@ -53,26 +53,26 @@
     def handle(
         self, message_type: type[Message], handler: Callable[[IncomingMessage[Message]], object]
     ) -> None:
-        """Messages of that type go to `handler` from now on."""
+        """Registers the handler of a message type."""
         self._registrations[operation_of(message_type)] = Registration(message_type, handler)
 
     async def listen(self, port: int) -> None:
-        """From here on a refused dial proves that this process has ended."""
+        """Starts to listen. From here on a refused connection proves that this process has ended."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self.accept, self._name, port, backlog=ACCEPT_BACKLOG)
 
     def accept(self) -> Link:
-        """A connection that has been accepted."""
+        """Creates the link of an accepted connection."""
         link = Link(self.receive, self._accepted.discard)
         self._accepted.add(link)
         return link
 
     def receive(self, link: Link, frame: Frame) -> None:
-        """One message, on a link of either side."""
+        """Handles a message, on an accepted or a dialled link."""
         operation = frame.envelope.operation
         if link in self._accepted and not link.incarnation and operation != operation_of(HelloRequest):
             self._log.event("hello_missing", op=operation)
-            link.drop()  # it could be answered, but not ascribed to anybody
+            link.drop()  # its sender is unknown
             return
         registration = self._registrations.get(operation)
         if registration is None:
--- a/sableford/transport/pending_calls.py
+++ b/sableford/transport/pending_calls.py
@@ -1,8 +1,8 @@
 """The calls of one connection that wait for their responses. No I/O.
 
-Each call has a number that no other call of this process has ever had, on whatever connection. A response
-is matched by that number and by nothing else: one that names no waiting call of its own connection (sent
-twice, too late, of another connection, never asked for) is dropped.
+The number of a call is unique in the process, across all connections. A response is matched by that number
+only. One that matches no pending call of its connection (duplicate, late, of another connection, unsolicited)
+is dropped.
 
     >>> from concurrent.futures import Future as PlainFuture
     >>> calls, future = PendingCalls(), PlainFuture()
@@ -27,16 +27,16 @@
 
 
 class PendingCall(NamedTuple):
-    """`decode` makes the result of the future from the frame, or raises CallError."""
+    """`decode` converts the frame into the result of the future, or raises CallError."""
 
     future: "Future[Any]"
     decode: Callable[[Frame], Any]
 
 
 class PendingCalls:
-    """A call whose future is done in any way (answered, given up, cancelled) leaves nothing behind here."""
+    """The pending calls by number. A call is removed when its future is done in any way."""
 
-    _numbers: ClassVar["itertools.count[int]"] = itertools.count(1)  # of the whole process
+    _numbers: ClassVar["itertools.count[int]"] = itertools.count(1)  # shared by the whole process
 
     def __init__(self) -> None:
         self._calls: dict[int, PendingCall] = {}
@@ -45,16 +45,16 @@
         return len(self._calls)
 
     def next_number(self) -> int:
-        """A number for a new call."""
+        """Returns a number for a new call."""
         return next(self._numbers)
 
     def add(self, number: int, future: "Future[Any]", decode: Callable[[Frame], Any]) -> None:
-        """`future` gets what `decode` makes of the response to call `number`."""
+        """Registers the call `number`; `future` gets its response, decoded by `decode`."""
         self._calls[number] = PendingCall(future, decode)
         future.add_done_callback(lambda done: self._calls.pop(number, None))
 
     def resolve(self, number: int, frame: Frame) -> bool:
-        """Whether a response to that call was waited for."""
+        """Completes the call with a response; returns False if no such call is pending."""
         call = self._calls.pop(number, None)
         if call is None or call.future.done():
             return False
@@ -65,7 +65,7 @@
         return True
 
     def fail_all(self, make_error: Callable[[], CallError]) -> None:
-        """The connection has ended: none will be answered."""
+        """Fails all pending calls, because the connection has ended."""
         calls, self._calls = list(self._calls.values()), {}
         for call in calls:
             if not call.future.done():
--- a/sableford/transport/routes.py
+++ b/sableford/transport/routes.py
@@ -1,5 +1,5 @@
-"""Which route a request is for, by host and longest prefix, and which tenant a key belongs to, under one
-version of the configuration.
+"""The routing table of one version of the configuration: routes by host and longest path prefix, backends by
+name, and tenants by API key.
 """
 
 from hashlib import sha256
@@ -7,7 +7,7 @@
 
 
 class Route(NamedTuple):
-    """One route of the configuration; times are ms, but for `retention_s`."""
+    """One route of the configuration. Times are ms, except `retention_s`."""
 
     name: str
     backend: str
@@ -19,12 +19,12 @@
     fifo: bool
     retention_s: float
     variant: str
-    public: bool = False  # whoever sends needs no key
+    public: bool = False  # requests need no API key
 
 
 class Backend(NamedTuple):
-    """One service. `endpoint`: its one address, where it is on no list; `rate`: calls a second that it
-    bears, 0 for no limit."""
+    """One backend service. `endpoint`: fixed address, if its workers are not discovered; `rate`: the limit
+    of calls per second, 0 for none."""
 
     name: str
     idempotent: bool
@@ -35,7 +35,7 @@
 
 
 class Table:
-    """Routes and services of one version; `revision` 0 is none."""
+    """Routes, backends and tenants of one version. `revision` 0: no configuration yet."""
 
     def __init__(self, revision: int = 0, doc: dict[str, Any] | None = None) -> None:
         self.revision, self.doc = revision, doc or {}
@@ -72,7 +72,7 @@
 
         tenants = self.doc.get("tenants")
         self.has_tenants = tenants is not None
-        # By digest, so that how long a look-up takes says nothing of a key that is nearly right.
+        # By digest, so that the time of a look-up reveals nothing about similar keys.
         self._tenants = {
             sha256(key.encode()).digest(): given["name"]
             for given in tenants or []
@@ -80,7 +80,7 @@
         }
 
     def tenant_of(self, key: bytes) -> str | None:
-        """The tenant that holds a key.
+        """Returns the tenant that a key belongs to, or None.
 
         >>> table = Table(1, {"tenants": [{"name": "a", "apiKeys": ["k1", "k2"]}]})
         >>> table.tenant_of(b"k2"), table.tenant_of(b"k")
@@ -89,7 +89,7 @@
         return self._tenants.get(sha256(key).digest())
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix, on the host with its port or without.
+        """Finds the route with the longest matching prefix. `host` may include a port.
 
         >>> rest = {"hostname": "H", "backend": "b", "deadlineMs": 1}
         >>> table = Table(1, {"routes": [rest | {"name": "a", "pathPrefix": "/"},
--- a/sableford/transport/verdict.py
+++ b/sableford/transport/verdict.py
@@ -1,5 +1,5 @@
-"""What is known of a request once it was attempted: whether it may have been executed. Nothing is retried,
-refused or reported to a client except on one of these.
+"""The outcome of an attempt: whether the request may have been executed. Any decision to retry, to refuse or
+to report to a client is based on it.
 """
 
 from enum import Enum
@@ -7,18 +7,18 @@
 
 
 class Execution(Enum):
-    """What the other side has certainly done, may have done, or has certainly not. Values are on the wire."""
+    """Whether the request was, may have been, or was certainly not executed. The values are sent to peers."""
 
-    DONE = "done"  # a success, complete, with its seal
-    FAILED = "failed"  # it ran and this attempt failed
-    IMPOSSIBLE = "never"  # it can never succeed: no other attempt is worth making
-    NOT_RUN = "not_run"  # provably not begun
-    UNKNOWN = "maybe"  # nothing proves either
+    DONE = "done"  # succeeded, with a seal
+    FAILED = "failed"  # executed, and the attempt failed
+    IMPOSSIBLE = "never"  # can never succeed; not worth a retry
+    NOT_RUN = "not_run"  # provably not started
+    UNKNOWN = "maybe"  # neither can be proved
 
 
 class Verdict(NamedTuple):
-    """How one attempt ended. `seal` with a success; `why` for people; `reached` whether the worker itself has
-    answered."""
+    """The outcome of one attempt. `seal` is set on success; `why` is text for operators; `reached` tells
+    whether the worker itself has answered."""
 
     execution: Execution
     why: str = ""
