--- a/tests/calls.py
+++ b/tests/calls.py
@@ -1,6 +1,7 @@
-"""An answer reaches the caller that asked, or nobody; what was sent and not answered counts as perhaps done.
+"""Links between processes, on in-memory connections and a simulated clock.
 
-Links between the system's own processes, on connections in memory and a simulated clock."""
+A response reaches the call that it belongs to or is dropped; a call that was sent and not answered may have
+been executed."""
 
 import asyncio
 from types import SimpleNamespace
@@ -44,19 +45,19 @@
 
 
 class Answer(PeerResponse, frozen=True):
-    """Any response: `text` says which."""
+    """A response that is identified by its text."""
 
     text: str = msgspec.field(name="is", default="")
 
 
 class Question(PeerRequest[Answer], frozen=True, tag="ask"):
-    """Any request."""
+    """A request."""
 
     response_type = Answer
 
 
 class Numbered(PeerMessage, frozen=True, tag="news"):
-    """Any message that is not answered."""
+    """A one-way message."""
 
     number: int = msgspec.field(name="n")
 
@@ -65,7 +66,7 @@
 
 
 def frame(head: dict, body: bytes = b"") -> bytes:
-    """A frame whose head is given as it stands on the wire."""
+    """A frame with this head, as on the wire."""
     return encode_frame(orjson.dumps(head), body)
 
 
@@ -84,7 +85,7 @@
         other, _ = link_of()
         first, second, elsewhere = link.request(ASK), link.request(ASK), other.request(ASK)
         numbers = [head["q"] for head in sent_by(transport)]
-        # The later one is answered first; then one that was never asked; then one of another connection.
+        # The later call is answered first; then an unknown number; then a call of another connection.
         link.data_received(frame({"a": numbers[1], "is": "second"}))
         assert not first.done() and (await second).message.text == "second"
         link.data_received(frame({"a": 10**9, "is": "nobody's"}) + frame({"a": numbers[1], "is": "again"}))
@@ -97,15 +98,17 @@
 
 
 def shows_an_answer_that_comes_too_late_meets_no_later_call() -> None:
-    """A store stalls past its caller's patience; its answer comes while the next call waits."""
+    """A store stalls beyond the time-out of a call; its response arrives while the next call is pending."""
 
     async def scene(loop) -> None:
         link, transport = link_of()
         assert await link.call(ASK, b"", 700.0) == CallResult(Execution.UNKNOWN)
-        assert loop.time() == 0.7 and not len(link._pending)  # nothing is kept of a call given up
+        assert loop.time() == 0.7 and not len(link._pending)  # a cancelled call is removed
         given_up = link.request(ASK)
         given_up.cancel()
-        link.data_received(frame({"a": sent_by(transport)[1]["q"], "is": "late"}))  # in the same turn
+        link.data_received(
+            frame({"a": sent_by(transport)[1]["q"], "is": "late"})
+        )  # in the same loop iteration
         assert not link.closed
         later = link.request(ASK)
         link.data_received(frame({"a": sent_by(transport)[0]["q"], "is": "late"}))
@@ -119,12 +122,12 @@
 def shows_a_call_says_whether_it_was_ever_handed_to_its_connection() -> None:
     async def scene(loop) -> None:
         link, transport = link_of()
-        waits = link.request(ASK)
-        transport.waiting = 10**8  # the other side reads nothing: no more is handed on, and the link ends
+        pending = link.request(ASK)
+        transport.waiting = 10**8  # the peer does not read: nothing more is written, and the link is closed
         assert await link.call(ASK, b"x", 700.0) == CallResult(Execution.NOT_RUN)
         assert len(sent_by(transport)) == 1
-        assert isinstance(waits.exception(), UnansweredError)
-        assert waits.exception().execution is Execution.UNKNOWN
+        assert isinstance(pending.exception(), UnansweredError)
+        assert pending.exception().execution is Execution.UNKNOWN
         after = link.request(ASK)
         assert isinstance(after.exception(), NotSentError)
         assert after.exception().execution is Execution.NOT_RUN
@@ -133,7 +136,7 @@
 
 
 def shows_a_message_that_cannot_be_read_ends_its_link_and_no_other() -> None:
-    """A number that is a list, a truth value, a fraction; an operation that is no text; a wrong length."""
+    """Numbers of the wrong type or out of range; an operation that is not a string; wrong lengths."""
     bad = [
         frame({"a": [1]}), frame({"a": True}), frame({"a": 1.0}), frame({"q": {}, "op": "x"}),
         frame({"a": 2**60}), frame({"q": -1}), frame({"op": ["put"]}), frame({"op": None, "q": 1}),
@@ -144,40 +147,41 @@
     async def scene(loop) -> None:
         for text in bad:
             link, transport = link_of()
-            waits = link.request(ASK)
+            pending = link.request(ASK)
             untouched, _ = link_of()
             link.data_received(text)
             assert link.closed and transport.closing and not untouched.closed, text
-            assert isinstance(waits.exception(), UnansweredError), text  # not a success, whatever it named
-            assert loop.problems.pop()["exception"], text  # and it is said
+            assert isinstance(pending.exception(), UnansweredError), text  # never a success
+            assert loop.problems.pop()["exception"], text  # and it is reported
 
     simulated(scene)
 
 
 def shows_a_message_whose_handling_fails_is_said_and_nothing_after_it_is_applied() -> None:
-    """News that can't be applied must not be followed by news that builds on it."""
-    heard = []
+    """An update that can't be applied must not be followed by updates that depend on it."""
+    received = []
 
-    def take(link: Link, frame: Frame) -> None:
-        heard.append(msgspec.json.decode(frame.head, type=Numbered).number)
-        if heard[-1] == 2:
+    def handle(link: Link, frame: Frame) -> None:
+        received.append(msgspec.json.decode(frame.head, type=Numbered).number)
+        if received[-1] == 2:
             raise KeyError("view")
 
     async def scene(loop) -> None:
-        link, _ = link_of(take)
+        link, _ = link_of(handle)
         link.data_received(b"".join(frame({"op": "news", "n": n}) for n in (1, 2, 3)))
-        assert heard == [1, 2] and link.closed
+        assert received == [1, 2] and link.closed
         assert isinstance(loop.problems.pop()["exception"], KeyError)
-        heard.clear()
-        link, _ = link_of(lambda link, frame: take(link, frame) or link.drop())
+        received.clear()
+        link, _ = link_of(lambda link, frame: handle(link, frame) or link.drop())
         link.data_received(frame({"op": "news", "n": 1}) + frame({"op": "news", "n": 3}))
-        assert heard == [1]  # it has found a gap itself
+        assert received == [1]  # the handler has closed the link because of a gap
 
     simulated(scene)
 
 
 def shows_a_call_that_the_other_does_not_know_counts_as_unanswered() -> None:
-    """A store of another version, or one that only starts, has done nothing: "late" was taken as told."""
+    """A store of another version, or one that is starting, has done nothing. The caller once took its refusal
+    of a "late" message for a confirmation."""
 
     async def scene(loop) -> None:
         link, transport = link_of()
@@ -197,37 +201,37 @@
 
 
 class Store(Link):
-    """The accepting side of a dial: a process with a name and a life."""
+    """The accepting side of a connection: a process with a name and an incarnation."""
 
     def __init__(self, name: str, incarnation: str) -> None:
         super().__init__(self._answer)
-        self._says = HelloResponse(incarnation, name)
+        self._hello = HelloResponse(incarnation, name)
 
     def _answer(self, link: Link, frame: Frame) -> None:
-        self.send_response(frame.envelope.call_number, self._says)
+        self.send_response(frame.envelope.call_number, self._hello)
 
 
 def shows_a_link_is_held_only_to_the_process_that_was_dialled() -> None:
-    """An address that answers as another store, or with no life, is nobody's link; a refusal is told."""
+    """A process with another name or without an incarnation gets no link; a refusal is reported."""
 
     async def scene(loop) -> None:
-        told: list[tuple] = []
+        changes: list[tuple] = []
         pool = LinkPool(HelloRequest("me", "m"), 7, lambda link, frame: None)
-        pool.on_up.append(lambda name, link: told.append((name, link.incarnation)))
-        pool.on_refused.append(lambda name: told.append((name, "refused")))
+        pool.on_up.append(lambda name, link: changes.append((name, link.incarnation)))
+        pool.on_refused.append(lambda name: changes.append((name, "refused")))
         loop.listeners[("a", 7)] = lambda: Store("a", "a1")
         loop.listeners[("b", 7)] = lambda: Store("elsewhere", "b1")
         loop.listeners[("c", 7)] = lambda: Store("c", "")
         pool.set_peers({"a", "b", "c", "d"})
         await asyncio.sleep(0.05)
-        assert sorted(told) == [("a", "a1"), ("d", "refused")]
+        assert sorted(changes) == [("a", "a1"), ("d", "refused")]
         assert [name for name in "abcd" if pool.link(name)] == ["a"]
-        # Another life at the same address is another link: nothing asked of the first is answered by it.
-        waits = pool.link("a").request(ASK)
+        # A new incarnation at the same address gets a new link, and answers no calls to the previous one.
+        pending = pool.link("a").request(ASK)
         loop.listeners[("a", 7)] = lambda: Store("a", "a2")
         pool.link("a").drop()
         await asyncio.sleep(0.01)
-        assert isinstance(waits.exception(), UnansweredError) and pool.link("a").incarnation == "a2"
+        assert isinstance(pending.exception(), UnansweredError) and pool.link("a").incarnation == "a2"
         one, _ = link_of()
         assert one.identify("a", "a1") and one.identify("a", "a1") and not one.identify("a", "a2")
         pool._timer.cancel()
@@ -236,47 +240,49 @@
 
 
 def shows_a_pending_call_matched_to_the_next_answer_is_found_out() -> None:
-    """The planted mistake: the oldest call of the connection takes whatever answer comes."""
+    """Checks the tests above against faulty implementations that match responses by order."""
+
+    class MatchesOldest(PendingCalls):
+        """Any response goes to the oldest call."""
 
-    class InTurn(PendingCalls):
         def resolve(self, number, frame):
             return super().resolve(next(iter(self._calls), 0), frame)
 
-    class Forgetful(PendingCalls):
-        """A late answer goes to the call that took its place."""
+    class MatchesNewest(PendingCalls):
+        """A late response goes to the newest call."""
 
         def resolve(self, number, frame):
             return super().resolve(number if number in self._calls else max(self._calls, default=0), frame)
 
-    for mistake, shows in (
-        (InTurn, shows_an_answer_meets_only_the_call_that_it_names),
-        (Forgetful, shows_an_answer_that_comes_too_late_meets_no_later_call),
+    for faulty, test in (
+        (MatchesOldest, shows_an_answer_meets_only_the_call_that_it_names),
+        (MatchesNewest, shows_an_answer_that_comes_too_late_meets_no_later_call),
     ):
-        planted(mistake, shows)
+        assert_detected(faulty, test)
 
 
-def planted(mistake: type, shows) -> None:
+def assert_detected(faulty: type, test) -> None:
     import sableford.transport.link as module
 
-    whole = module.PendingCalls
-    module.PendingCalls = mistake
+    original = module.PendingCalls
+    module.PendingCalls = faulty
     try:
-        shows()
+        test()
     except AssertionError:
         return
     finally:
-        module.PendingCalls = whole
-    raise AssertionError(f"{mistake.__name__} was not found out")
+        module.PendingCalls = original
+    raise AssertionError(f"{faulty.__name__} was not detected")
 
 
 def shows_what_comes_before_a_hello_is_nobody_s() -> None:
-    """A connection that does not say whose it is gets no answer; nor does one that changes its name."""
+    """A connection without a hello gets no response; nor does one that changes its name."""
 
     async def scene(loop) -> None:
-        said, asked = [], []
-        log = SimpleNamespace(event=lambda name, /, **fields: said.append(name))
+        events, senders = [], []
+        log = SimpleNamespace(event=lambda name, /, **fields: events.append(name))
         server = PeerServer("me", "m1", log)
-        server.handle(Question, lambda incoming: asked.append(incoming.sender))
+        server.handle(Question, lambda incoming: senders.append(incoming.sender))
 
         def accepted() -> tuple[Link, MemoryTransport]:
             link = server.accept()
@@ -288,13 +294,13 @@
         )
         link, transport = accepted()
         link.data_received(join + hello + join)
-        assert link.closed and not transport.written and not asked and said == ["hello_missing"]
+        assert link.closed and not transport.written and not senders and events == ["hello_missing"]
         link, transport = accepted()
         link.data_received(hello + join)
         assert sent_by(transport) == [{"a": 1, "birth": "m1", "name": "me", "v": 1}]
-        assert asked == ["a"]
+        assert senders == ["a"]
         link.data_received(frame({"op": "hello", "name": "b", "birth": "a1", "q": 3}) + join)
-        assert link.closed and len(sent_by(transport)) == 1 and asked == ["a"]
+        assert link.closed and len(sent_by(transport)) == 1 and senders == ["a"]
         link, transport = accepted()
         link.data_received(frame({"op": "hello", "name": "a", "birth": 7, "q": 1}))
         assert link.closed and not transport.written and loop.problems.pop()
@@ -303,7 +309,7 @@
 
 
 def shows_a_delivery_begins_only_while_its_store_may_begin_it() -> None:
-    """Between the decision and the first byte its bytes are read and its worker is dialled."""
+    """Ownership may be lost after the decision, while the body is read and the worker is dialled."""
     queue = Queue("me", "m", 0, Table(1, DOC), Choice("z", "me"), 600.0, True)
     state = queue.state
     message = Message(HEADER, b"x", 0.0, 0.0)
@@ -313,21 +319,21 @@
     clock = SimpleNamespace(now=lambda: 999.0)
     executor = SimpleNamespace(_queue=queue, _now=lambda: clock.now())
 
-    def may(worker: str = "w") -> bool:
+    def may_send(worker: str = "w") -> bool:
         return EffectExecutor.may_send(executor, Deliver(message.ref, worker, 2000.0))
 
-    assert may() and not may("gone")
-    clock.now = lambda: 1000.0  # its lease is over
-    assert not may()
-    clock.now, state.owned = lambda: 999.0, {}  # another's by now
-    assert not may()
+    assert may_send() and not may_send("gone")
+    clock.now = lambda: 1000.0  # its lease has expired
+    assert not may_send()
+    clock.now, state.owned = lambda: 999.0, {}  # another store owns it
+    assert not may_send()
     state.owned, message.state = {0: (1, 1)}, State.ENDING
-    assert not may()
-    message.state, state.messages = State.IN_FLIGHT, {}  # it has ended meanwhile
-    assert not may()
+    assert not may_send()
+    message.state, state.messages = State.IN_FLIGHT, {}  # it has ended in the meantime
+    assert not may_send()
 
 
-# A put that may have come before
+# Retries of a put whose first attempt may have been stored
 
 
 PUT = PutRequest(
@@ -361,8 +367,8 @@
 def put_again(
     answers: dict[str, LookupResponse | None], live: str = "ab", incomplete: str = ""
 ) -> list[PutResponse | str]:
-    """What a store does on it, by what its others `a` and `b` answer; who is not named says nothing.
-    `incomplete`: those that have lost their disks."""
+    """How a store responds to a retried put, given the responses of the other stores `a` and `b`; a store
+    that is not named does not respond. `incomplete`: the stores that have lost their disks."""
     queue = Queue("me", "m", 1, Table(1, DOC), Choice("z", "me"), 600.0, True)
     stores = ["me", *live]
     queue.state.view = View(
@@ -381,8 +387,8 @@
 
 
 def shows_a_put_that_may_have_come_before_is_not_taken_anew_on_a_silence() -> None:
-    """Its first try was taken, run and ended by an owner that is gone; who else knows the end says nothing.
-    Of three stores one may be lost: two that answer are enough, this one among them."""
+    """The first attempt was stored, run and ended by an owner that is gone, and the other store that knows
+    the final state is silent. Of three stores one may be lost: two responses are enough, its own included."""
     no, ended = LookupResponse(), LookupResponse(FinalState("complete", "s", "", 0.0))
     unclear, kept = PutResponse(refusal="owner", maybe_kept=True), PutResponse(kept=True)
     assert put_again({"a": no, "b": no}) == ["taken"]
@@ -393,8 +399,8 @@
     assert put_again({}, live="a") == put_again({"a": None}, live="a") == [unclear]
 
 
-def shows_the_word_of_a_store_without_its_disk_does_not_let_a_put_be_taken_anew() -> None:
-    """a lost its disk, so that it knows of nothing; b, which knows the end, is silent."""
+def shows_a_response_of_a_store_without_its_disk_does_not_let_a_put_be_taken_anew() -> None:
+    """Store a has lost its disk and knows nothing; b, which knows the final state, is silent."""
     no = LookupResponse()
     unclear = PutResponse(refusal="owner", maybe_kept=True)
     assert put_again({"a": no}, incomplete="a") == [unclear]
--- a/tests/closed_shards.py
+++ b/tests/closed_shards.py
@@ -1,4 +1,4 @@
-"""Shards that nobody can open: what is put there waits no longer than it may be of use."""
+"""Shards that no store can open: puts to them wait no longer than is useful."""
 
 import asyncio
 
@@ -21,8 +21,8 @@
 LONG_MS = LEASE_MS + TAKEOVER_MS
 
 
-def half_of_four() -> Queue:
-    """s0 is to serve all; of the four stores of the roster two are on the other side of a partition."""
+def queue_in_partition() -> Queue:
+    """s0 owns all shards; two of the four stores of the roster are on the other side of a partition."""
     queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
     queue.state.lease = 1e9
     live_stores = {name: StoreInfo(f"b{name[1]}", f"z{name}") for name in ("s0", "s1")}
@@ -38,18 +38,20 @@
 
 
 def shows_what_may_go_to_any_shard_does_not_wait_for_one_that_is_being_taken_over() -> None:
-    assert responses(half_of_four().put(0.0, PUT, b"x", "edge")) == [RespondToPut("edge", REFUSED_OPENING)]
+    assert responses(queue_in_partition().put(0.0, PUT, b"x", "edge")) == [
+        RespondToPut("edge", REFUSED_OPENING)
+    ]
 
 
 def shows_a_put_of_a_key_is_plainly_refused_if_its_shard_does_not_open() -> None:
-    """And one that may have come before, which can go nowhere else."""
+    """The same holds for a retry of a put that may have been stored, which can go to no other shard."""
     for put in (replace(PUT, key="k"), replace(PUT, is_retry=True)):
-        queue = half_of_four()
+        queue = queue_in_partition()
         assert not responses(queue.put(100.0, put, b"x", "edge"))
         assert not responses(queue.tick(PARK_MS, 0.0))
         assert responses(queue.tick(PARK_MS + 1.0, 0.0)) == [RespondToPut("edge", REFUSED_OPENING)]
         assert not responses(queue.tick(PARK_MS + 2.0, 0.0))
-        # From then on it waits for stores that are away: nobody is held.
+        # From then on the shard waits for missing stores, and puts are refused at once.
         assert responses(queue.put(PARK_MS + 3.0, put, b"x", "edge")) == [
             RespondToPut("edge", REFUSED_OPENING)
         ]
@@ -57,7 +59,7 @@
 
 
 def two_owners() -> View:
-    """Of even shards s0 is the owner, of odd ones s1; the last ten went to s1 later, together."""
+    """s0 owns the even shards, s1 the odd ones; the last ten moved to s1 later, in one view."""
     owners = ["s0" if shard % 2 == 0 and shard < SHARDS - 10 else "s1" for shard in range(SHARDS)]
     epochs = [(1, 1)] * (SHARDS - 10) + [(1, 2)] * 10
     return View((1, 2), owners, [""] * SHARDS, epochs, {name: StoreInfo("b", "z") for name in ("s0", "s1")})
@@ -70,15 +72,15 @@
 
 
 def shows_a_shard_is_closed_for_long_only_past_a_lease_and_a_takeover() -> None:
-    for note in (ShardAvailability.refused, ShardAvailability.unreachable):
+    for record in (ShardAvailability.refused, ShardAvailability.unreachable):
         shards = availability()
         for now in range(0, int(LONG_MS) + 1, 100):
             assert not shards.is_closed_for_long(float(now), 7)
-            note(shards, float(now), 7)
+            record(shards, float(now), 7)
         later = LONG_MS + 1.0
         assert [shards.is_closed_for_long(later, at) for at in (7, 9, 8, 59)] == [True, True, False, False]
         shards.accepted(9)
-        note(shards, LONG_MS + 200.0, 7)
+        record(shards, LONG_MS + 200.0, 7)
         assert not shards.is_closed_for_long(LONG_MS + 201.0, 7)
 
 
@@ -106,16 +108,16 @@
 
 
 def shows_an_edge_puts_what_has_no_key_to_an_open_shard_at_once() -> None:
-    """Every shard of s0 is being opened; s1 serves its own."""
+    """All shards of s0 are being taken over; s1 serves its own."""
 
     async def scene() -> tuple[int, float]:
         stores = {"s0": Owner(*[{"no": "opening"}] * 99), "s1": Owner(*[{"kept": True}] * 99)}
         gate, loop = edge(stores), asyncio.get_running_loop()
-        begun = loop.time()
+        started_at = loop.time()
         for number in range(20):
             fields = (b"attempt-id", b"%d" % number), (b"deadline-ms", b"4000")
             assert (await asked(gate, "/b/1", *fields)).status == 202
-        return len(stores["s0"].puts), loop.time() - begun
+        return len(stores["s0"].puts), loop.time() - started_at
 
     puts, seconds = simulated(lambda loop: scene())
     assert puts <= 30 and seconds < RETRY_MS / 1000.0, (puts, seconds)
@@ -126,13 +128,13 @@
         stores = {"s0": Owner(*[{"no": "opening"}] * 999)}
         gate, loop, waits = edge(stores), asyncio.get_running_loop(), []
         for number in range(8):
-            begun = loop.time()
+            started_at = loop.time()
             fields = (b"attempt-id", b"%d" % number), (b"order-key", b"k"), (b"deadline-ms", b"1500")
             answer = await asked(gate, "/a/1", *fields)
             assert answer.status == 503 and "Retry-After" in dict(answer.headers)
-            waits.append((loop.time() - begun) * 1000.0)
+            waits.append((loop.time() - started_at) * 1000.0)
         return waits
 
     waits = simulated(lambda loop: scene())
-    # Held as long as the shard may just be changing hands; each edge asks its owner now and then after that.
+    # Held while the shard may be changing its owner; after that the edge only probes the owner.
     assert min(waits[:2]) > 100.0 and max(waits[3:]) < 10.0, waits
--- a/tests/configuration_versions.py
+++ b/tests/configuration_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration on their way from the acknowledgement to the members that act on them."""
+"""The distribution of configuration versions from their acknowledgement to the members that apply them."""
 
 import asyncio
 from contextlib import suppress
@@ -22,9 +22,9 @@
 from tests.memory_network import simulated
 from tests.store_fences import PUT, takes_over
 
-APPLY_MS = 4000.0  # as the deployments have it
+APPLY_MS = 4000.0  # the value of the deployments
 
-ODD = ("2.0", "2", " 2 ", "1e3", 2.0, True, False, "true", "false", "no", "0", "1_0", None, [], {})
+UNUSUAL_VALUES = ("2.0", "2", " 2 ", "1e3", 2.0, True, False, "true", "false", "no", "0", "1_0", None, [], {})
 FIELDS = {
     "routes": (
         "deadlineMs",
@@ -42,7 +42,7 @@
 
 
 def document_with(part: str, field: str, value: Any) -> dict[str, Any]:
-    """A configuration that is valid but perhaps for that value."""
+    """A configuration that is valid except, perhaps, for this value."""
     route = {"name": "r", "hostname": "h", "pathPrefix": "/", "backend": "b", "deadlineMs": 100}
     doc: dict[str, Any] = {"revision": 2, "routes": [route], "backends": [{"name": "b"}], "limits": {}}
     place = doc[part] if part == "limits" else doc[part][0]
@@ -50,8 +50,8 @@
     return doc
 
 
-def acted_on(gate: Gateway) -> list[Any]:
-    """What an edge and its stores make of the configuration."""
+def applied_values(gate: Gateway) -> list[Any]:
+    """The values that members derive from the configuration."""
     table, bounds = gate.table, gate.bounds
     route, backend = table.find("h", "/"), table.backends["b"]
     return [
@@ -61,8 +61,8 @@
     ]
 
 
-def acknowledged(configuration: Configuration) -> list[Any]:
-    """The same, as it was checked before it was acknowledged."""
+def acknowledged_values(configuration: Configuration) -> list[Any]:
+    """The same values, as validated before the acknowledgement."""
     route, backend, limits = configuration.routes[0], configuration.backends[0], configuration.limits
     return [
         *(
@@ -79,12 +79,12 @@
 
 
 def shows_what_is_acknowledged_can_be_applied_by_members_and_means_the_same_there() -> None:
-    # CONFIG: a configuration was acknowledged that no member could apply, or that members read otherwise.
+    # CONFIG: a configuration was acknowledged that members could not apply, or interpreted differently.
     async def scene(loop: asyncio.AbstractEventLoop) -> list[str]:
-        wrong = []
+        faults = []
         for part, fields in FIELDS.items():
             for field in fields:
-                for value in ODD:
+                for value in UNUSUAL_VALUES:
                     doc = document_with(part, field, value)
                     try:
                         configuration = check(doc)
@@ -94,14 +94,14 @@
                     try:
                         gate.configuration_changed(ConfigurationVersion(2, doc))
                     except Exception as problem:
-                        wrong.append(f"{part}.{field} {value!r}: {problem}")
+                        faults.append(f"{part}.{field} {value!r}: {problem}")
                         continue
-                    if acted_on(gate) != acknowledged(configuration):
-                        wrong.append(f"{part}.{field} {value!r}: means something else at members")
-        return wrong
+                    if applied_values(gate) != acknowledged_values(configuration):
+                        faults.append(f"{part}.{field} {value!r}: means something else at members")
+        return faults
 
-    wrong = simulated(scene)
-    assert not wrong, wrong
+    faults = simulated(scene)
+    assert not faults, faults
 
 
 def is_refused(doc: dict[str, Any]) -> bool:
@@ -113,7 +113,7 @@
 
 
 def shows_what_is_of_another_type_is_refused_and_a_number_is_taken_however_it_is_written() -> None:
-    # CONFIG: "public": "false" was acknowledged, and whole numbers may come as 2.0 from some JSON writers.
+    # CONFIG: "public": "false" was acknowledged, and some JSON encoders write whole numbers as 2.0.
     for field, value in (("public", "false"), ("public", 1), ("rank", "2.0"), ("fifo", "no")):
         assert is_refused(document_with("routes", field, value)), (field, value)
     for tenants in ("a", {"name": "a"}, [{"name": "a", "apiKeys": "k"}], [{"name": "a", "apiKeys": [1]}]):
@@ -139,12 +139,12 @@
     return queue
 
 
-def served_by(effects: list[Effect]) -> list[str]:
+def delivered_to(effects: list[Effect]) -> list[str]:
     return [effect.worker for effect in effects if isinstance(effect, Deliver)]
 
 
 def shows_a_message_taken_under_a_newer_version_is_not_run_by_an_older_one() -> None:
-    # CONFIG: an edge took a message by a version that its store had yet to get; the old service ran it.
+    # CONFIG: an edge accepted a message under a version its store had not received; the old service ran it.
     route_of_b = next(route for route in DOC["routes"] if route["name"] == "b")
     old = route_of_b["backend"]
     new = "b" if old == "a" else "a"
@@ -159,15 +159,15 @@
         effects += queue.message_copied(0.0, PUT.ref, "s1", True)
         for now in range(10, 300, 10):
             effects += queue.tick(float(now), 0.0)
-        assert served_by(effects) == [], "it was run by version 1"
+        assert delivered_to(effects) == [], "it was run by version 1"
         effects = queue.configure(300.0, Table(2, doc))
         for now in range(310, 500, 10):
             effects += queue.tick(float(now), 0.0)
-        assert served_by(effects) == [f"of-{new}"], effects
+        assert delivered_to(effects) == [f"of-{new}"], effects
 
 
 def shows_a_delivery_that_an_older_version_chose_is_not_begun_under_a_newer_one() -> None:
-    # CONFIG: while its bytes were read and its worker dialled, a version came that moves or drops its route.
+    # CONFIG: a version that moves or drops the route arrived while the body was read and the worker dialled.
     route_of_b = next(route for route in DOC["routes"] if route["name"] == "b")
     services = [{"name": "a"}, {"name": "b"}]
     moved = {"routes": [route_of_b | {"backend": "b"}], "backends": services}
@@ -176,13 +176,13 @@
         queue = with_workers_of_both_services()
         effects = [*queue.put(0.0, PUT, b"x", "edge"), *queue.message_written(0.0, PUT.ref)]
         effects += queue.message_copied(0.0, PUT.ref, "s1", True)
-        assert served_by(effects) == ["of-a"], effects
+        assert delivered_to(effects) == ["of-a"], effects
         queue.configure(1.0, Table(2, doc))
         assert queue.may_send(2.0, PUT.ref, "of-a") == is_begun, doc
 
 
 def shows_a_message_whose_version_never_comes_ends_with_its_retention() -> None:
-    # RETENTION: a message waited for ever at a store that never got the version that it was taken under.
+    # RETENTION: a message waited forever at a store that never received the version it was accepted under.
     retention_ms = 300_000.0  # as the configuration here has it
     queue = with_workers_of_both_services()
     queue.put(0.0, replace(PUT, revision=2), b"x", "edge")
@@ -195,7 +195,7 @@
 
 
 def shows_an_old_version_with_a_short_retention_ends_no_message_of_a_newer_one() -> None:
-    # CONFIG: a message was given up by the retention of a version that was older than the message's own.
+    # CONFIG: a message was ended by the retention of a version older than the one it was accepted under.
     short = {"routes": [route | {"retentionS": 1} for route in DOC["routes"]], "backends": DOC["backends"]}
     queue = with_workers_of_both_services()
     queue.configure(0.0, Table(1, short))
@@ -206,11 +206,11 @@
         queue.tick(float(now), 0.0)
     assert queue.status(PUT.ref).phase == "pending"
     queue.configure(2000.0, Table(2, DOC))
-    assert served_by([effect for now in (2010.0, 2040.0) for effect in queue.tick(now, 0.0)]) == ["of-a"]
+    assert delivered_to([effect for now in (2010.0, 2040.0) for effect in queue.tick(now, 0.0)]) == ["of-a"]
 
 
 def shows_a_join_alone_prolongs_nothing_that_is_known_of_the_configuration() -> None:
-    # CONFIG: a new leader's answer came and its snapshot did not; its member used an old version too long.
+    # CONFIG: a new leader's response arrived, its snapshot did not; the member used an old version too long.
     async def play() -> None:
         scene = Scene()
         await scene.join()
@@ -232,7 +232,7 @@
 
 
 def shows_a_version_that_a_member_could_not_apply_is_applied_when_it_joins_again() -> None:
-    # CONFIG: a member failed while it applied a version, and then passed for one that had applied it.
+    # CONFIG: a member failed to apply a version, and was then counted as having applied it.
     async def play() -> None:
         scene, applied = Scene(), []
 
@@ -256,15 +256,15 @@
 
 
 def shows_an_edge_keeps_all_of_its_version_where_the_next_can_not_be_read() -> None:
-    # CONFIG: an edge acted on the routes of one version and the limits of another.
+    # CONFIG: an edge used the routes of one version and the limits of another.
     async def scene(loop: asyncio.AbstractEventLoop) -> None:
         gate = edge({"s0": Owner()})
         gate.configuration_changed(ConfigurationVersion(1, document_with("limits", "maxBodyBytes", 10)))
-        before = acted_on(gate)
+        before = applied_values(gate)
         unreadable = document_with("limits", "maxBodyBytes", 20)
         unreadable["limits"]["idleTimeoutMs"] = "soon"
         with suppress(ValueError):
             gate.configuration_changed(ConfigurationVersion(2, unreadable))
-        assert (gate.table.revision, acted_on(gate)) == (1, before)
+        assert (gate.table.revision, applied_values(gate)) == (1, before)
 
     simulated(scene)
--- a/tests/edge_gateway.py
+++ b/tests/edge_gateway.py
@@ -1,4 +1,4 @@
-"""An edge between a client and stores that answer what the test says, under a simulated clock."""
+"""An edge between a client and stores with scripted responses, under a simulated clock."""
 
 import asyncio
 import itertools
@@ -25,10 +25,9 @@
 
 
 class Owner:
-    """What an edge sees of a store: a link, and responses to what is asked there, one after the other, as
-    they come over the wire."""
+    """A store as an edge sees it: a link with scripted responses, in the form that they have on the wire."""
 
-    incarnation = "b"  # as the view shows it
+    incarnation = "b"  # the one in the view
 
     def __init__(self, *answers: dict | CallResult) -> None:
         self.answers, self.puts = list(answers), []
@@ -40,7 +39,7 @@
 
 
 def received(request: PeerRequest, answer: dict) -> CallResult:
-    """What a link makes of an answer; its key `raw` is the body."""
+    """The result of a call with this response; its key `raw` is the body."""
     fields = {name: value for name, value in answer.items() if name != "raw"}
     head = orjson.dumps(fields)
     frame = Frame(read_envelope(head), head, answer.get("raw", b""))
@@ -52,7 +51,7 @@
 
 
 def edge(stores: dict[str, Owner], silent: tuple[str, ...] = ()) -> Gateway:
-    """It has heard nothing of the silent of late."""
+    """An edge that has not heard from the `silent` stores recently."""
     view = View(
         (1, 1), [sorted(stores)[at % len(stores)] for at in range(SHARDS)], [""] * SHARDS,
         live_stores={name: StoreInfo("b", "z") for name in stores}, roster=sorted(stores),
@@ -78,12 +77,14 @@
 
 
 def asked(gate: Gateway, path: str, *fields: tuple[bytes, bytes], method: str = "POST"):
-    """What a request is answered: now or once awaited."""
+    """The response to a request, or an awaitable of it."""
     return gate.handle(Request(method, path.encode("latin-1"), [(b"host", b"h"), *fields], b"x", True))
 
 
-def taken(stores: dict[str, Owner], silent: tuple[str, ...] = (), key: str = "") -> tuple[int, dict]:
-    """The answer to a message."""
+def status_and_headers(
+    stores: dict[str, Owner], silent: tuple[str, ...] = (), key: str = ""
+) -> tuple[int, dict]:
+    """The status and headers of the response to a message."""
 
     async def scene() -> tuple[int, dict]:
         fields = [(b"attempt-id", b"id"), (b"deadline-ms", b"4000")]
@@ -96,26 +97,26 @@
 
 
 def shows_an_edge_holds_to_what_a_put_may_have_come_to() -> None:
-    # A store that speaks to too few others: another one's shard.
+    # A store that reaches too few others: the message goes to a shard of another store.
     alone, other = Owner(*[{"no": "alone"}] * 9), Owner({"kept": True})
-    assert taken({"s0": alone, "s1": other})[0] == 202
-    # Being taken as its owner let it go: the same shard, under the same name, marked.
+    assert status_and_headers({"s0": alone, "s1": other})[0] == 202
+    # The owner lost the shard during the put: retried at the same shard, with the same reference.
     moved = Owner({"no": "owner", "may": True}, {"no": "owner"}, {"kept": True})
-    status, headers = taken({"s0": moved})
+    status, headers = status_and_headers({"s0": moved})
     assert (status, headers["Message-Ref"]) == (202, moved.puts[0].ref)
     assert [put.is_retry for put in moved.puts] == [False, True, True]
     assert len({put.ref for put in moved.puts}) == 1
-    # Never known to be taken, and never to be found out: nothing is promised.
-    assert taken({"s0": Owner({"may": True}, *[{"no": "owner"}] * 40)})[0] == 504
-    # Silent: nothing is put there, and its client hears when to come back.
+    # The outcome can't be determined: neither accepted nor refused.
+    assert status_and_headers({"s0": Owner({"may": True}, *[{"no": "owner"}] * 40)})[0] == 504
+    # Unresponsive: nothing is sent there, and the client is told when to retry.
     quiet = Owner()
-    status, headers = taken({"s0": quiet}, ("s0",), "k")
+    status, headers = status_and_headers({"s0": quiet}, ("s0",), "k")
     assert (status, quiet.puts) == (503, []) and "Retry-After" in headers
 
 
 def shows_a_put_that_was_ever_unclear_is_put_nowhere_else_and_never_refused() -> None:
-    """Every run of up to three answers: a store that stalls, a link that ends before or behind the bytes, an
-    owner that lets its shard go, an answer nobody can read."""
+    """All sequences of up to three results: a store that stalls, a link that breaks before or after the
+    request, an owner that loses its shard, an unreadable response."""
     unclear = (BROKEN, {"no": "owner", "may": True}, {"may": True}, {}, {"kept": 1})
     plain = (UNSENT, {"no": "owner"}, {"no": "alone"}, {"no": "unknown"})
     for count in range(1, 4):
@@ -123,63 +124,63 @@
             rest = [{"no": "owner"}] * 40
             kept = [one for one in answers if one in unclear]
             store = Owner(*answers, *rest)
-            assert taken({"s0": store})[0] == (504 if kept else 503), answers
+            assert status_and_headers({"s0": store})[0] == (504 if kept else 503), answers
             store = Owner(*answers, {"kept": True})
-            assert taken({"s0": store})[0] == 202, answers
+            assert status_and_headers({"s0": store})[0] == 202, answers
             marked = [any(one in unclear for one in answers[:at]) for at in range(count + 1)]
             assert [put.is_retry for put in store.puts] == marked, answers
             named = [put.ref for put, again in zip(store.puts, marked, strict=True) if again]
-            assert len(set(named)) <= 1, answers  # each later put is of the same name, so of the same shard
+            assert len(set(named)) <= 1, answers  # retries have the same reference, so the same shard
     for answer in unclear:
-        assert taken({"s0": Owner(answer, *[{"no": "owner"}] * 40)})[0] == 504, answer
+        assert status_and_headers({"s0": Owner(answer, *[{"no": "owner"}] * 40)})[0] == 504, answer
     for answer in plain:
-        assert taken({"s0": Owner(*[answer] * 40)})[0] == 503, answer
-    # No key: with nothing unclear it may be another shard's, under another name.
+        assert status_and_headers({"s0": Owner(*[answer] * 40)})[0] == 503, answer
+    # Without an order key: may be sent to another shard with another reference while nothing is unclear.
     one, other = Owner(*[UNSENT] * 40), Owner(*[UNSENT] * 40)
-    assert taken({"s0": one, "s1": other})[0] == 503 and one.puts and other.puts
+    assert status_and_headers({"s0": one, "s1": other})[0] == 503 and one.puts and other.puts
     one, other = Owner(*[BROKEN] * 40), Owner(*[BROKEN] * 40)
-    assert taken({"s0": one, "s1": other})[0] == 504 and not (one.puts and other.puts)
+    assert status_and_headers({"s0": one, "s1": other})[0] == 504 and not (one.puts and other.puts)
 
 
 def shows_planted_mistakes_of_an_edge_are_found() -> None:
-    class Forgetful(PutProgress):
-        """The last answer counts."""
+    class UsesLastOutcome(PutProgress):
+        """Uses the last outcome only."""
 
         def add(self, outcome: PutOutcome) -> None:
             super().add(outcome)
             self.unclear = outcome is PutOutcome.UNCLEAR
 
-    class Hopeful(PutProgress):
-        """A silence is a no: it goes elsewhere."""
+    class UnclearIsRefused(PutProgress):
+        """Takes a missing response for a refusal."""
 
         def add(self, outcome: PutOutcome) -> None:
             super().add(PutOutcome.NOT_TAKEN if outcome is PutOutcome.UNCLEAR else outcome)
 
-    class Fearful(PutProgress):
-        """What was never sent may have been taken."""
+    class UnsentIsUnclear(PutProgress):
+        """Takes a put that was not sent for one that may be stored."""
 
         def add(self, outcome: PutOutcome) -> None:
             super().add(outcome if outcome is PutOutcome.KEPT else PutOutcome.UNCLEAR)
 
-    for mistake in (Forgetful, Hopeful, Fearful):
-        gateway.PutProgress = mistake
+    for faulty in (UsesLastOutcome, UnclearIsRefused, UnsentIsUnclear):
+        gateway.PutProgress = faulty
         try:
             shows_a_put_that_was_ever_unclear_is_put_nowhere_else_and_never_refused()
         except AssertionError:
             continue
         finally:
             gateway.PutProgress = PutProgress
-        raise AssertionError(f"{mistake.__name__} was not found out")
+        raise AssertionError(f"{faulty.__name__} was not detected")
 
 
 PENDING = {"state": {"phase": "pending"}}
 COMPLETE = {"state": {"phase": "complete", "seal": "s"}}
 NOTHING = {"state": None}
-REF = "00-9c41"  # of the first store's shard
+REF = "00-9c41"  # of a shard of the first store
 
 
 def state(answers: list, silent: tuple[str, ...] = ()) -> Answer:
-    """What is answered to who asks after a message of s0's, by what each of three stores says each time."""
+    """The response to a status query for a message of s0, given the responses of three stores."""
 
     async def scene() -> Answer:
         stores = {f"s{at}": Owner(*[answer] * 60) for at, answer in enumerate(answers)}
@@ -191,27 +192,28 @@
 def shows_a_message_s_state_is_its_owner_s_word_or_that_of_enough_others() -> None:
     complete, pending = (200, b'{"phase":"complete","seal":"s"}'), (200, b'{"phase":"pending"}')
     ours = {"ref": REF, "owner": True}
-    for answers, silent, wanted in (
+    for answers, silent, expected in (
         ([COMPLETE | ours, PENDING, PENDING], (), complete),
         ([PENDING | ours, NOTHING, NOTHING], (), pending),
-        ([PENDING, NOTHING, NOTHING], (), pending),  # a version that says neither
-        # The owner is silent: one has a copy, the other knows the end.
+        ([PENDING, NOTHING, NOTHING], (), pending),  # a version that sends neither field
+        # The owner is silent; one store has a copy, the other the final state.
         ([BROKEN, PENDING, COMPLETE], (), complete),
         ([COMPLETE, PENDING, COMPLETE], ("s0",), complete),
-        # It is the owner no more, or not yet.
+        # It is no longer, or not yet, the owner.
         ([PENDING | {"ref": REF, "owner": False}, COMPLETE, NOTHING], (), complete),
         ([NOTHING, COMPLETE, NOTHING], (), complete),
-        ([BROKEN, PENDING, NOTHING], (), pending),  # of three, one of which may be lost, two would know
+        # Of three stores one may be lost: two responses are enough.
+        ([BROKEN, PENDING, NOTHING], (), pending),
         ([NOTHING, NOTHING, NOTHING], (), (404, None)),
-        # Too few for that: an older state might be told.
+        # Too few responses: the state might be outdated.
         ([BROKEN, PENDING, BROKEN], (), (503, None)),
         ([BROKEN, BROKEN, NOTHING], (), (503, None)),
-        # An answer on another message, or one that can't be read, is none.
+        # A response for another message, or an unreadable one, is ignored.
         ([COMPLETE | {"ref": "00-other"}, PENDING, NOTHING], (), pending),
         ([{"state": {"phase": 7}}, NOTHING, {"state": "complete"}], (), (503, None)),
     ):
         answer = state(answers, silent)
-        assert answer.status == wanted[0] and wanted[1] in (None, answer.body), (answers, answer)
+        assert answer.status == expected[0] and expected[1] in (None, answer.body), (answers, answer)
         assert (answer.status == 503) == ("Retry-After" in dict(answer.headers))
 
     async def bytes_of(answers: list) -> Answer:
@@ -219,17 +221,17 @@
         return await asked(edge(stores), f"/v1/message-body/{REF}", method="GET")
 
     found, none = {"found": True, "raw": b"xyz"}, {"found": False}
-    for answers, wanted in (
+    for answers, expected in (
         ([none, BROKEN, found], (200, b"xyz")),
         ([found | {"ref": "00-other"}, none, none], (404, None)),
         ([none, BROKEN, BROKEN], (503, None)),
     ):
         answer = simulated(lambda loop, answers=answers: bytes_of(answers))
-        assert answer.status == wanted[0] and wanted[1] in (None, answer.body), answers
+        assert answer.status == expected[0] and expected[1] in (None, answer.body), answers
 
 
 def shows_a_store_without_its_disk_does_not_say_that_a_message_is_unknown_or_pending() -> None:
-    """s0 and s1 had it, s1 its end. s0 came back with an empty disk; s1 is cut off."""
+    """s0 and s1 had the message, s1 its final state. s0 came back with an empty disk; s1 is cut off."""
 
     def answered(path: str, answers: list, complete: bool, incarnation: str) -> int:
         async def scene() -> Answer:
@@ -245,7 +247,7 @@
     for complete, incarnation, statuses in (
         (True, "b", (404, 200, 404)),
         (False, "b", (503, 503, 503)),
-        (True, "later", (503, 503, 503)),  # no view shows it yet
+        (True, "later", (503, 503, 503)),  # not in the view yet
     ):
         found = (
             answered("/v1/message/", nothing, complete, incarnation),
@@ -267,9 +269,9 @@
         return simulated(scene)
 
     id = (b"attempt-id", b"id")
-    senseless = (*b"nan inf -1 1e400 1e9 \xb2 1_0 0x1 +1 .5".split(), b"1 2", b"1" * 400)
+    invalid = (*b"nan inf -1 1e400 1e9 \xb2 1_0 0x1 +1 .5".split(), b"1 2", b"1" * 400)
     for name in (b"delay-ms", b"deadline-ms"):
-        for text in senseless:
+        for text in invalid:
             got, puts = answer_to(id, (name, text))
             assert got.status == 400 and name.decode().title() in got.body.decode() and not puts, text
         for text in (b"0", b"1500", b"1.5", b"1e-05", b"33.333333333333336", b""):
@@ -287,7 +289,7 @@
         got, puts = answer_to(*fields)
         assert got.status == 400 and name.decode().title() in got.body.decode() and not puts, name
     assert answer_to()[0].status == 400
-    # Any id that HTTP carries is taken, and gets a name of plain letters.
+    # Any id that HTTP can carry is accepted, and gets an ASCII reference.
     for value in (b"a b", b"\xff\xb2", b"a/../b", b"x" * 300):
         got, puts = answer_to((b"attempt-id", value))
         ref = dict(got.headers)["Message-Ref"]
--- a/tests/http_calls.py
+++ b/tests/http_calls.py
@@ -1,5 +1,5 @@
-"""HTTP on both sides, in memory: each answer belongs to one request, each request is sent once, and what was
-written and not answered whole may have run."""
+"""The HTTP server and client on in-memory connections: each response belongs to one request, each request is
+sent once, and one that was written and got no complete response may have been executed."""
 
 import asyncio
 from types import SimpleNamespace
@@ -24,54 +24,54 @@
 
 
 class Calls:
-    """A server whose answers the test gives, and a connection to it."""
+    """A server whose responses are set by the test, and connections to it."""
 
     def __init__(self) -> None:
-        self.came: list[Request] = []
-        self.due: list[asyncio.Future] = []
+        self.received: list[Request] = []
+        self.responses: list[asyncio.Future] = []
         bounds = Bounds()
         bounds.head, bounds.body = HEAD_BOUND, BODY_BOUND
         self.server = HttpServer(self._handle, bounds)
 
     def _handle(self, request: Request) -> asyncio.Future:
-        self.came.append(request)
-        self.due.append(asyncio.get_running_loop().create_future())
-        return self._answer(self.due[-1])
+        self.received.append(request)
+        self.responses.append(asyncio.get_running_loop().create_future())
+        return self._answer(self.responses[-1])
 
-    async def _answer(self, due: asyncio.Future) -> Answer:
-        return await due
+    async def _answer(self, responses: asyncio.Future) -> Answer:
+        return await responses
 
     def connect(self) -> tuple[ServerConnection, MemoryTransport]:
         connection = ServerConnection(self.server)
         return connection, attached(connection)
 
     async def answer(self, at: int, body: bytes, status: int = 200) -> None:
-        self.due[at].set_result(Answer(status, body))
+        self.responses[at].set_result(Answer(status, body))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
 
     def paths(self) -> list[str]:
-        return [request.path for request in self.came]
+        return [request.path for request in self.received]
 
 
 def shows_an_answer_ends_with_the_connection_whose_request_it_is() -> None:
-    """A client closes while its request is under way, with another one behind it."""
+    """A client closes the connection while a request is in flight and another is queued."""
 
     async def scene(loop) -> None:
         calls = Calls()
         one, transport = calls.connect()
         one.data_received(request("/1", b"x") + request("/2", b"x"))
         await asyncio.sleep(0)
-        assert calls.paths() == ["/1"]  # one at a time, in their order
+        assert calls.paths() == ["/1"]  # one at a time, in order
         transport.abort()
         await asyncio.sleep(0)
-        other, its = calls.connect()
+        other, other_transport = calls.connect()
         other.data_received(request("/3", b"x"))
         await asyncio.sleep(0)
         await calls.answer(0, b"first")
-        assert calls.paths() == ["/1", "/3"] and not transport.written and not its.written
+        assert calls.paths() == ["/1", "/3"] and not transport.written and not other_transport.written
         await calls.answer(1, b"third")
-        assert its.written.endswith(b"third") and its.written.count(b"HTTP/1.1") == 1
+        assert other_transport.written.endswith(b"third") and other_transport.written.count(b"HTTP/1.1") == 1
 
     simulated(scene)
 
@@ -100,7 +100,9 @@
         assert one.eof_received()
         await calls.answer(0, b"first")
         await calls.answer(1, b"second")
-        assert transport.written.count(b"HTTP/1.1 200") == 2 and transport.closing and len(calls.came) == 2
+        assert (
+            transport.written.count(b"HTTP/1.1 200") == 2 and transport.closing and len(calls.received) == 2
+        )
         idle, _ = calls.connect()
         assert not idle.eof_received()
 
@@ -136,9 +138,9 @@
             one, transport = calls.connect()
             one.data_received(text)
             await asyncio.sleep(0)
-            assert not calls.came and transport.closing, text
+            assert not calls.received and transport.closing, text
             assert transport.written.startswith(b"HTTP/1.1 4") and transport.written.count(b"HTTP/1.1") == 1
-        # Behind an end that was asked for nothing is read.
+        # Nothing is read after a request with Connection: close.
         calls = Calls()
         one, transport = calls.connect()
         one.data_received(request("/1", b"", "Connection: close", "Content-Length: 0") + inner)
@@ -146,20 +148,20 @@
         await asyncio.sleep(0)
         await calls.answer(0, b"")
         assert calls.paths() == ["/1"] and transport.closing and transport.written.count(b"HTTP/1.1") == 1
-        # What follows the last chunk says nothing of the request.
+        # Trailers are ignored.
         calls = Calls()
         one, _ = calls.connect()
         one.data_received(request("/1", b"1\r\nx\r\n0\r\nOrder-Key: k\r\nAttempt-Id: i\r\n\r\n", chunks))
         await asyncio.sleep(0)
-        assert calls.came[0].body == b"x" and calls.came[0].count(b"order-key") == 0
-        assert calls.came[0].get(b"attempt-id") is None
-        calls.due[0].cancel()
+        assert calls.received[0].body == b"x" and calls.received[0].count(b"order-key") == 0
+        assert calls.received[0].get(b"attempt-id") is None
+        calls.responses[0].cancel()
 
     simulated(scene)
 
 
 def shows_an_answer_without_a_body_is_no_longer_than_its_head() -> None:
-    """A HEAD, and a 204, by whoever gives it a body: it would be read as the next answer."""
+    """A body sent after HEAD, 204 or 304 would be parsed as the next response."""
 
     async def scene(loop) -> None:
         for method, status in (("HEAD", 200), ("POST", 204), ("POST", 304)):
@@ -176,27 +178,27 @@
 def shows_a_caller_that_reads_nothing_holds_little_memory_and_is_let_go() -> None:
     async def scene(loop) -> None:
         calls = Calls()
-        calls.server.handle = lambda request: calls.came.append(request) or Answer(200, b"y" * 30_000)
+        calls.server.handle = lambda request: calls.received.append(request) or Answer(200, b"y" * 30_000)
         one, transport = calls.connect()
         transport.unread = True
         for _ in range(20):
             one.data_received(request("/1", b"x") * 5)
             if transport.paused:
                 break
-        assert transport.paused and len(calls.came) == 3, len(calls.came)  # some of it, then no more
+        assert transport.paused and len(calls.received) == 3, len(calls.received)  # then reading pauses
         one.look(loop.time() + 14.0)
         assert not transport.closing
         one.look(loop.time() + 16.0)
         assert transport.closing and not one.busy()
-        # Another that reads again gets all.
-        calls.came.clear()
+        # A client that reads again gets all responses.
+        calls.received.clear()
         one, transport = calls.connect()
         transport.unread = True
         one.data_received(request("/1", b"x") * 9)
         transport.unread, transport.waiting = False, 0
         one.resume_writing()
         assert transport.written.count(b"HTTP/1.1 200") == 9 and not transport.paused
-        # One whose last answer is not taken does not stay for ever.
+        # A client that does not read its last response is disconnected.
         one, transport = calls.connect()
         transport.close = lambda: None
         one.data_received(request("/1", b"", "Connection: close", "Content-Length: 0"))
@@ -213,13 +215,13 @@
             calls = Calls()
             one, transport = calls.connect()
             one.data_received(begin)
-            came = 0
+            received = 0
             while not transport.closing:
                 one.data_received(b"y" * 100)
-                came += 100
-                assert came < HEAD_BOUND + 8 * BODY_BOUND + 300
-            assert transport.written.startswith(b"HTTP/1.1 " + status) and not calls.came
-        # Many small requests in one read, and a part of one more, are no long head.
+                received += 100
+                assert received < HEAD_BOUND + 8 * BODY_BOUND + 300
+            assert transport.written.startswith(b"HTTP/1.1 " + status) and not calls.received
+        # Many small requests and a partial one in one read do not count as one long head.
         calls = Calls()
         calls.server.handle = lambda request: Answer(200)
         one, transport = calls.connect()
@@ -230,7 +232,7 @@
     simulated(scene)
 
 
-# Towards a worker
+# The client for workers
 
 
 def answered(*fields: str, status: int = 200, body: bytes = b"") -> bytes:
@@ -241,11 +243,11 @@
 
 
 def shows_only_a_whole_answer_counts() -> None:
-    """Cut by its length, in a chunk, in its head; ended without a length; with one that is wrong."""
+    """Responses that are cut in the head, the body or a chunk, or have a missing or wrong length."""
     chunked, ended = "Transfer-Encoding: chunked", answered("Attempt-Id: 7", "Server-Seal: s7", body=b"all")
 
     async def scene(loop) -> None:
-        async def asked(*parts: bytes, end: Exception | None = None) -> tuple[int, dict] | Exception:
+        async def response_to(*parts: bytes, end: Exception | None = None) -> tuple[int, dict] | Exception:
             connection = ClientConnection()
             transport = attached(connection)
             future = connection.ask(b"POST")
@@ -263,7 +265,7 @@
             (answered("Attempt-Id: 7", status=204),),
         ]  # fmt: skip
         for parts in whole:
-            got = await asked(*parts)
+            got = await response_to(*parts)
             assert not isinstance(got, Exception) and got.headers[b"attempt-id"] == b"7", parts
         cut = [
             OWN[:-1], OWN[:20], answered(chunked, body=b"2\r\nok\r\n"), answered(chunked, body=b"9\r\nok"),
@@ -272,14 +274,14 @@
             answered("Connection: upgrade", "Upgrade: x", status=101),
         ]  # fmt: skip
         for part in cut:
-            assert isinstance(await asked(part), UnansweredError), part
-        assert isinstance(await asked(ended, end=ConnectionResetError()), UnansweredError)
+            assert isinstance(await response_to(part), UnansweredError), part
+        assert isinstance(await response_to(ended, end=ConnectionResetError()), UnansweredError)
 
     simulated(scene)
 
 
 def shows_an_answer_s_head_is_its_own() -> None:
-    """Interim answers, trailers, and names given twice lend it nothing."""
+    """It is not mixed with those of interim responses, or with trailers."""
 
     async def scene(loop) -> None:
         async def head_of(text: bytes) -> dict:
@@ -297,7 +299,7 @@
         assert (await head_of(answered("Attempt-Id: 6", "Attempt-Id: 7", "Content-Length: 0")))[
             b"attempt-id"
         ] == b"6, 7"
-        # A head without end is thrown away.
+        # An endless head closes the connection.
         connection = ClientConnection()
         transport = attached(connection)
         future = connection.ask(b"POST")
@@ -323,16 +325,16 @@
 
         assert after(OWN)
         assert not after(OWN + OWN) and not after(OWN, OWN) and not after(OWN, b"\r\nx")
-        assert not after(OWN[:-1])  # it still answers
+        assert not after(OWN[:-1])  # the response is incomplete
         assert not after(answered("Connection: close", "Content-Length: 0"))
-        assert not after(OWN, waiting=9)  # answered before it had read the request
-        # Bytes that come while it rests.
+        assert not after(OWN, waiting=9)  # answered before the whole request was read
+        # Data received while the connection is idle.
         connection = ClientConnection()
         transport = attached(connection)
         connection.data_received(OWN)
         assert not connection.usable() and transport.closing
         assert isinstance(connection.ask(b"POST").exception(), NotSentError) and not transport.written
-        # For as long as its worker says, with something to spare.
+        # Used for the time that the worker announces, less a margin.
         connection = ClientConnection()
         attached(connection)
         connection.ask(b"POST")
@@ -344,40 +346,40 @@
     simulated(scene)
 
 
-class WorkerEnd(asyncio.Protocol):
-    """A worker's end of a connection; what each request gets is the test's."""
+class WorkerConnection(asyncio.Protocol):
+    """The worker's end of a connection; the test defines how it handles requests."""
 
     def __init__(self, worker: "Worker") -> None:
         self.worker = worker
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self.worker.ends.append(self)
-        if self.worker.shuts:
+        self.worker.connections.append(self)
+        if self.worker.aborts_connections:
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
         self.worker.requests.append(data)
-        self.worker.does(self)
+        self.worker.handle(self)
 
     def connection_lost(self, problem: Exception | None) -> None:
         self.worker.lost += 1
 
 
 class Worker:
-    def __init__(self, loop, does=lambda end: end.transport.write(OWN)) -> None:
+    def __init__(self, loop, handle=lambda end: end.transport.write(OWN)) -> None:
         self.requests: list[bytes] = []
-        self.ends: list[WorkerEnd] = []
+        self.connections: list[WorkerConnection] = []
         self.lost = 0
-        self.does, self.shuts = does, False
-        loop.listeners[("w", 1)] = lambda: WorkerEnd(self)
+        self.handle, self.aborts_connections = handle, False
+        loop.listeners[("w", 1)] = lambda: WorkerConnection(self)
 
 
 MESSAGE = SimpleNamespace(
     header=SimpleNamespace(
         method="POST", target="/a", host="h", id="7", key="", content_type="", tenant="", unordered_key=""
     )
-)  # what a delivery reads of it
+)  # the fields that a delivery uses
 WORKER = WorkerEntry("i-7", "b", "w", 1, "z", 1, True)
 LEFT_MS = 1500.0
 
@@ -389,7 +391,7 @@
 def shows_a_message_is_sent_once_an_attempt_and_its_verdict_says_what_is_proved(
     make: type = DeliveryClient,
 ) -> None:
-    """Whatever a worker does with it: an answer, a reset, an end, silence, another message's answer."""
+    """The worker answers, resets, closes, is silent, or answers another message."""
 
     async def scene(loop) -> None:
         other = OWN.replace(b"Id: 7", b"Id: 6")
@@ -403,12 +405,12 @@
             (lambda end: end.transport.write(other + OWN), Execution.UNKNOWN, 1),
             (lambda end: end.transport.write(OWN + other), Execution.DONE, 1),
         ]
-        for does, ran, lost in cases:
-            worker, client = Worker(loop, does), make()
+        for handle, ran, lost in cases:
+            worker, client = Worker(loop, handle), make()
             assert (await delivered(client, loop)).execution is ran
             await asyncio.sleep(0.01)
             assert len(worker.requests) == 1 and worker.lost == lost, (ran, worker.requests, worker.lost)
-        # Never reached: refused, never connected, gone before the first byte. Nothing is left open.
+        # Never reached: refused, connect time-out, closed before the first byte. No connection is leaked.
         loop.listeners.clear()
         assert (await delivered(make(), loop)).execution is Execution.NOT_RUN
         worker = Worker(loop)
@@ -416,7 +418,7 @@
         assert (await delivered(make(), loop)).execution is Execution.NOT_RUN
         await asyncio.sleep(1.0)
         assert not worker.requests and worker.lost == 1
-        loop.dial_ms, worker.shuts = 1.0, True
+        loop.dial_ms, worker.aborts_connections = 1.0, True
         assert (await delivered(make(), loop)).execution is Execution.NOT_RUN and not worker.requests
 
     simulated(scene)
@@ -429,7 +431,7 @@
         assert (await delivered(client, loop, 100.5)).execution is Execution.NOT_RUN and not worker.requests
         verdict = await delivered(client, loop, may_send=lambda: False)
         assert verdict.execution is Execution.NOT_RUN and verdict.reached and not worker.requests
-        # Its connection is as good as before.
+        # The connection remains usable.
         assert (await delivered(client, loop)).execution is Execution.DONE
         assert client.dials == 1 and b"Deadline-Ms: 1500\r\n" in worker.requests[0]
 
@@ -437,24 +439,24 @@
 
 
 def shows_an_answer_later_than_its_deadline_meets_no_other_delivery() -> None:
-    """The worker answers the first message when the second is on its way."""
+    """The worker answers the first message while the second is in flight."""
 
     async def scene(loop) -> None:
         worker, client = Worker(loop, lambda end: None), DeliveryClient()
         assert (await delivered(client, loop)).execution is Execution.UNKNOWN
         again = loop.create_task(delivered(client, loop))
         await asyncio.sleep(0.1)
-        assert len(worker.ends) == 2 and worker.lost == 1  # a connection of its own
-        assert worker.ends[0].transport.closing and not again.done()
-        worker.ends[1].transport.write(answered("Attempt-Id: 7", "Content-Length: 0", status=500))
+        assert len(worker.connections) == 2 and worker.lost == 1  # on a new connection
+        assert worker.connections[0].transport.closing and not again.done()
+        worker.connections[1].transport.write(answered("Attempt-Id: 7", "Content-Length: 0", status=500))
         assert (await again).execution is Execution.FAILED
 
     simulated(scene)
 
 
 def shows_planted_mistakes_of_a_delivery_are_found() -> None:
-    class Insists(DeliveryClient):
-        """After a silence or a reset it sends once more."""
+    class ResendsAfterFailure(DeliveryClient):
+        """Sends again after a time-out or a reset."""
 
         async def _exchange(self, connection, *more):
             verdict = await super()._exchange(connection, *more)
@@ -462,24 +464,24 @@
                 return verdict
             return await super()._exchange(await self._dial(WORKER), *more)
 
-    class Sanguine(DeliveryClient):
-        """What broke off has not run."""
+    class ReportsNotRun(DeliveryClient):
+        """Reports a broken connection as not executed."""
 
         async def _exchange(self, *more):
             verdict = await super()._exchange(*more)
             broke = verdict.execution is Execution.UNKNOWN and not verdict.reached
             return Verdict(Execution.NOT_RUN, verdict.why) if broke else verdict
 
-    class Thrifty(DeliveryClient):
-        """A connection with an answer outstanding is kept."""
+    class ReusesBusyConnection(DeliveryClient):
+        """Reuses a connection with an outstanding response."""
 
         async def _exchange(self, connection, *more):
             connection.drop = lambda: None
             return await super()._exchange(connection, *more)
 
-    for mistake in (Insists, Sanguine, Thrifty):
+    for faulty in (ResendsAfterFailure, ReportsNotRun, ReusesBusyConnection):
         try:
-            shows_a_message_is_sent_once_an_attempt_and_its_verdict_says_what_is_proved(mistake)
+            shows_a_message_is_sent_once_an_attempt_and_its_verdict_says_what_is_proved(faulty)
         except AssertionError:
             continue
-        raise AssertionError(f"{mistake.__name__} was not found out")
+        raise AssertionError(f"{faulty.__name__} was not detected")
--- a/tests/moved_endpoints.py
+++ b/tests/moved_endpoints.py
@@ -18,20 +18,20 @@
 DELIVERY_MS = 1000.0
 
 
-# Guards against CONFIG and ROUTE: on a kept connection the service that an older version names runs it.
+# Guards against CONFIG and ROUTE: a message was sent on a kept connection to the address of an older version.
 def shows_a_moved_service_gets_nothing_on_connections_to_its_old_address() -> None:
     async def scene(loop) -> None:
         ran: list[tuple[str, int]] = []
 
-        def served_at(place: tuple[str, int]) -> None:
+        def served_at(endpoint: tuple[str, int]) -> None:
             def handle(request: Request) -> Answer:
-                ran.append(place)
+                ran.append(endpoint)
                 return Answer(200, b"", (("Attempt-Id", "m"), ("Server-Seal", "s")))
 
-            loop.listeners[place] = lambda: ServerConnection(HttpServer(handle, Bounds()))
+            loop.listeners[endpoint] = lambda: ServerConnection(HttpServer(handle, Bounds()))
 
-        async def deliver(place: tuple[str, int]) -> None:
-            backend = {"name": "x", "maxConns": 2, "endpoint": f"{place[0]}:{place[1]}"}
+        async def deliver(endpoint: tuple[str, int]) -> None:
+            backend = {"name": "x", "maxConns": 2, "endpoint": f"{endpoint[0]}:{endpoint[1]}"}
             choice.fix(loop.time() * 1000.0, Table(1, {"backends": [backend]}))
             client.sweep(set(choice.workers))
             worker = choice.choose(loop.time() * 1000.0, "x")
@@ -43,8 +43,8 @@
         served_at(OLD)
         served_at(NEW)
         choice, client = Choice("z", "s"), DeliveryClient()
-        for place in (OLD, OLD, NEW):
-            await deliver(place)
+        for endpoint in (OLD, OLD, NEW):
+            await deliver(endpoint)
         assert ran == [OLD, OLD, NEW], ran
 
     simulated(scene)
--- a/tests/node_signals.py
+++ b/tests/node_signals.py
@@ -1,4 +1,4 @@
-"""Plain asserts on signals at the start and at the end of `python -m sableford.node`, each in a process."""
+"""Signals at the start and at the end of `python -m sableford.node`, each test in a separate process."""
 
 import json
 import socket
@@ -10,7 +10,7 @@
 
 HOST = f"{network()}.1"
 ROOT = Path(__file__).resolve().parent.parent
-LOADS = """
+PRINT_FIRST_IMPORT = """
 import runpy, signal, sys
 
 class Watch:
@@ -23,7 +23,7 @@
 sys.argv = ["sableford"]
 runpy.run_module("sableford.node", run_name="__main__")
 """
-ENDS = """
+RUN_AND_END = """
 import asyncio, os, signal, sys
 from pathlib import Path
 import uvloop
@@ -45,20 +45,22 @@
 """
 
 
-# A settings file that changes while a process starts ended it: SIGHUP's default is the end.
+# A SIGHUP for a changed settings file, sent while the process starts, ended it by its default action.
 def shows_sighup_is_ignored_before_the_first_part_of_the_program_is_loaded() -> None:
-    told = subprocess.run([sys.executable, "-c", LOADS], capture_output=True, text=True, cwd=ROOT)
-    assert told.stdout == "sableford.node.cli True\n", told
+    result = subprocess.run(
+        [sys.executable, "-c", PRINT_FIRST_IMPORT], capture_output=True, text=True, cwd=ROOT
+    )
+    assert result.stdout == "sableford.node.cli True\n", result
 
 
-# A second SIGTERM ended a process that was closing with -15 in place of 0: as it ends, the
-# interpreter gives signals with a handler their default back, and leaves ignored ones ignored.
+# A second SIGTERM ended a closing process with -15 instead of 0: on exit the interpreter resets signals with
+# a handler to their default action, but leaves ignored ones ignored.
 def shows_signals_that_come_after_the_end_leave_its_exit_code_as_it_is() -> None:
-    inner = free_port()
-    settings = {"nodeName": "e", "bindIp": HOST, "zone": "z", "portRange": [inner, inner]}
-    words = [sys.executable, "-c", ENDS, json.dumps(settings)]
-    told = subprocess.run(words, capture_output=True, text=True, cwd=ROOT)
-    assert told.stdout.endswith("[True, True, True]\n"), told
+    port = free_port()
+    settings = {"nodeName": "e", "bindIp": HOST, "zone": "z", "portRange": [port, port]}
+    command = [sys.executable, "-c", RUN_AND_END, json.dumps(settings)]
+    result = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
+    assert result.stdout.endswith("[True, True, True]\n"), result
 
 
 def free_port() -> int:
--- a/tests/tenant_routes.py
+++ b/tests/tenant_routes.py
@@ -1,4 +1,4 @@
-"""Whose requests an edge takes: keys of tenants, on routes that are public or not (docs/tenants.md)."""
+"""Authentication at an edge by API keys of tenants, on public and other routes (docs/tenants.md)."""
 
 import base64
 from hashlib import sha256
@@ -56,8 +56,8 @@
 )
 
 
-class Asked:
-    """What came of one request: its answer, what was put to the store, and the log's lines."""
+class Result:
+    """The result of one request: the response, the puts to the store, and the lines of the log."""
 
     def __init__(
         self, path: str, *fields: tuple[bytes, bytes], document: dict = WITH_TENANTS, lease: float = 1e9
@@ -69,8 +69,8 @@
             gate = edge({"s0": store})
             self._configure(gate, document)
             gate.member.configuration_lease = lease
-            got = asked(gate, path, *fields)
-            return (got if isinstance(got, Answer) else await got), store
+            result = asked(gate, path, *fields)
+            return (result if isinstance(result, Answer) else await result), store
 
         self.answer, store = simulated(lambda loop: scene())
         self.status, self.puts = self.answer.status, store.puts
@@ -81,96 +81,96 @@
 
 
 def with_key(value: bytes | None) -> tuple[tuple[bytes, bytes], ...]:
-    """The fields of a message that is right but for its Authorization."""
+    """The fields of a message that is valid except, perhaps, for its Authorization."""
     return (ID,) if value is None else (ID, (b"authorization", value))
 
 
-# Guards against ROUTE: a request with a key that no configuration has held, or with none, is run.
+# Guards against ROUTE: a request with an unknown key, or without one, is run.
 def shows_a_route_that_is_not_public_takes_nothing_without_a_known_key() -> None:
     for path in CLOSED_PATHS:
         for value in UNACCEPTED:
-            got = Asked(path, *with_key(value))
-            assert (got.status, got.puts) == (401, []), (path, value, got.status, len(got.puts))
+            result = Result(path, *with_key(value))
+            assert (result.status, result.puts) == (401, []), (path, value, result.status, len(result.puts))
 
 
-# Guards against ROUTE: only `true` makes a route public, not that the field is given.
+# Guards against ROUTE: a route is public because the field is present, not because it is `true`.
 def shows_a_route_is_public_only_where_its_configuration_says_true() -> None:
     for given in ({}, {"public": False}, {"public": None}):
         route = {name: value for name, value in PUBLIC.items() if name != "public"} | given
-        got = Asked(PUBLIC_PATH, ID, document=WITH_TENANTS | {"routes": [route]})
-        assert (got.status, got.puts) == (401, []), (given, got.status)
+        result = Result(PUBLIC_PATH, ID, document=WITH_TENANTS | {"routes": [route]})
+        assert (result.status, result.puts) == (401, []), (given, result.status)
 
 
-# Guards against ROUTE: a request is run for who is told of no tenant, or of another one than its key's.
+# Guards against ROUTE: a request is run for no tenant, or for a tenant other than the owner of the key.
 def shows_a_known_key_names_its_tenant_on_each_route() -> None:
     for path in (*CLOSED_PATHS, PUBLIC_PATH):
         for key, tenant in ((KEY, "nowu640"), (b"k-second", "nowu640"), (OTHER_KEY, "goka901")):
-            got = Asked(path, *with_key(b"Token " + key))
-            assert got.status == 202 and len(got.puts) == 1, (path, key, got.status)
-            assert getattr(got.puts[0], "tenant", None) == tenant, (path, key)
+            result = Result(path, *with_key(b"Token " + key))
+            assert result.status == 202 and len(result.puts) == 1, (path, key, result.status)
+            assert getattr(result.puts[0], "tenant", None) == tenant, (path, key)
 
 
-# Guards against CONFIG and UNASKED: a public route wants a key, or takes a guess for a tenant's.
+# Guards against CONFIG and UNASKED: a public route requires a key, or attributes an unknown one to a tenant.
 def shows_a_public_route_asks_for_no_key_and_an_unknown_one_names_no_tenant() -> None:
     for value in UNACCEPTED:
-        got = Asked(PUBLIC_PATH, *with_key(value))
-        assert got.status == 202 and len(got.puts) == 1, (value, got.status)
-        assert getattr(got.puts[0], "tenant", None) == "", value
+        result = Result(PUBLIC_PATH, *with_key(value))
+        assert result.status == 202 and len(result.puts) == 1, (value, result.status)
+        assert getattr(result.puts[0], "tenant", None) == "", value
 
 
-# Guards against ROUTE: of two readings of one field the one that is known is taken.
+# Guards against ROUTE: of two Authorization fields the one with a known key is used.
 def shows_two_authorizations_are_refused_on_each_route() -> None:
     for document in (WITH_TENANTS, WITHOUT_TENANTS):
         for path in (*CLOSED_PATHS, PUBLIC_PATH, UNKNOWN_PATH):
             for first, second in ((KEY, KEY), (KEY, OTHER_KEY), (UNKNOWN_KEY, KEY), (KEY, UNKNOWN_KEY)):
                 fields = (b"authorization", b"Token " + first), (b"authorization", b"Token " + second)
-                got = Asked(path, ID, *fields, document=document)
-                assert (got.status, got.puts) == (400, []), (path, first, second, got.status)
-                assert b"Authorization" in got.answer.body, got.answer
+                result = Result(path, ID, *fields, document=document)
+                assert (result.status, result.puts) == (400, []), (path, first, second, result.status)
+                assert b"Authorization" in result.answer.body, result.answer
 
 
-# Guards against ROUTE and CONFIG: what no route is for is run, or refused as if it had one.
+# Guards against ROUTE and CONFIG: a request without a route is run, or refused for another reason.
 def shows_an_unknown_route_is_answered_404_whatever_the_key() -> None:
     for value in (*UNACCEPTED, b"Token " + KEY):
-        got = Asked(UNKNOWN_PATH, *with_key(value))
-        assert (got.status, got.puts) == (404, []), (value, got.status)
+        result = Result(UNKNOWN_PATH, *with_key(value))
+        assert (result.status, result.puts) == (404, []), (value, result.status)
 
 
-# Guards against ROUTE: a key is judged by a configuration that may be an old one.
+# Guards against ROUTE: a key is checked against a configuration that may be outdated.
 def shows_no_key_is_judged_where_the_configuration_is_not_known_for_certain() -> None:
     for value in (None, b"Token " + UNKNOWN_KEY, b"Token " + KEY):
         for path in (*CLOSED_PATHS, PUBLIC_PATH, UNKNOWN_PATH):
-            got = Asked(path, *with_key(value), lease=-1e9)
-            assert (got.status, got.puts) == (503, []), (path, value, got.status)
+            result = Result(path, *with_key(value), lease=-1e9)
+            assert (result.status, result.puts) == (503, []), (path, value, result.status)
 
 
-# Guards against a request that is not allowed being told what else of it is wrong.
+# Guards against an unauthorized request getting details about its other fields.
 def shows_a_key_is_looked_at_before_the_other_fields() -> None:
     for fields in ((), (ID, (b"delay-ms", b"nan")), (ID, (b"deadline-ms", b"-1"))):
-        refused = Asked(CLOSED_PATHS[0], *fields, (b"authorization", b"Token " + UNKNOWN_KEY))
+        refused = Result(CLOSED_PATHS[0], *fields, (b"authorization", b"Token " + UNKNOWN_KEY))
         assert (refused.status, refused.puts) == (401, []), (fields, refused.status)
-        known = Asked(CLOSED_PATHS[0], *fields, (b"authorization", b"Token " + KEY))
+        known = Result(CLOSED_PATHS[0], *fields, (b"authorization", b"Token " + KEY))
         assert (known.status, known.puts) == (400, []), (fields, known.status)
 
 
-# Guards against CONFIG: deployments without tenants, as all earlier ones, refuse with 401.
+# Guards against CONFIG: a deployment without tenants, as all earlier ones are, responds with 401.
 def shows_a_configuration_without_tenants_asks_for_no_key() -> None:
     for value in (*UNACCEPTED, b"Token " + KEY):
         for path in (*CLOSED_PATHS, PUBLIC_PATH):
-            got = Asked(path, *with_key(value), document=WITHOUT_TENANTS)
-            assert got.status == 202 and len(got.puts) == 1, (path, value, got.status)
-            assert getattr(got.puts[0], "tenant", "") == "", (path, value)
+            result = Result(path, *with_key(value), document=WITHOUT_TENANTS)
+            assert result.status == 202 and len(result.puts) == 1, (path, value, result.status)
+            assert getattr(result.puts[0], "tenant", "") == "", (path, value)
 
 
-# Guards against ROUTE: with all tenants taken away each key is unknown, not each request free.
+# Guards against ROUTE: when all tenants are removed, all requests are allowed instead of none.
 def shows_an_empty_list_of_tenants_is_no_configuration_without_tenants() -> None:
     for value in (None, b"Token " + KEY):
-        got = Asked(CLOSED_PATHS[0], *with_key(value), document=WITHOUT_TENANTS | {"tenants": []})
-        assert (got.status, got.puts) == (401, []), (value, got.status)
+        result = Result(CLOSED_PATHS[0], *with_key(value), document=WITHOUT_TENANTS | {"tenants": []})
+        assert (result.status, result.puts) == (401, []), (value, result.status)
 
 
 def renderings(key: bytes) -> set[str]:
-    """The key and its digests as they might stand in a text."""
+    """The key and its digests in the forms in which they might appear in a text."""
     digest = sha256(key)
     return {
         key.decode(),
@@ -180,28 +180,32 @@
     }
 
 
-# Guards against UNASKED: the key gets to a worker, a client or a log, from where others may use it.
+# Guards against UNASKED: a key is disclosed to a worker, a client or the log.
 def shows_no_answer_put_or_log_line_has_a_key_or_its_digest() -> None:
     for path in (*CLOSED_PATHS, PUBLIC_PATH, UNKNOWN_PATH):
         for keys in ((KEY,), (UNKNOWN_KEY,), (KEY, OTHER_KEY)):
-            got = Asked(path, ID, *((b"authorization", b"Token " + key) for key in keys))
-            texts = [str(got.answer), *(msgspec.json.encode(put).decode() for put in got.puts), *got.lines]
+            result = Result(path, ID, *((b"authorization", b"Token " + key) for key in keys))
+            texts = [
+                str(result.answer),
+                *(msgspec.json.encode(put).decode() for put in result.puts),
+                *result.lines,
+            ]
             for text in texts:
                 for secret in set().union(*map(renderings, (KEY, OTHER_KEY, UNKNOWN_KEY))):
                     assert secret not in text, (path, keys, text)
-            assert any(line.startswith("config ") for line in got.lines), "the log was not heard"
+            assert any(line.startswith("config ") for line in result.lines), "nothing was logged"
 
 
-# Guards against clients that can't tell a refused key from another refusal (RFC 9110, 11.6.1).
+# Guards against a 401 without the scheme to use (RFC 9110, 11.6.1).
 def shows_a_refused_key_is_told_which_scheme_is_wanted() -> None:
     for value in UNACCEPTED:
-        got = Asked(CLOSED_PATHS[0], *with_key(value))
-        assert got.status == 401, (value, got.status)
-        wanted = [text for name, text in got.answer.headers if name.lower() == "www-authenticate"]
-        assert wanted == ["Token"], (value, got.answer)
+        result = Result(CLOSED_PATHS[0], *with_key(value))
+        assert result.status == 401, (value, result.status)
+        schemes = [text for name, text in result.answer.headers if name.lower() == "www-authenticate"]
+        assert schemes == ["Token"], (value, result.answer)
 
 
-# Guards against ROUTE: the table of a version knows other keys than the version has.
+# Guards against ROUTE: the routing table of a version knows other keys than the version.
 def shows_a_table_knows_just_the_keys_of_its_version() -> None:
     table = Table(2, WITH_TENANTS)
     known = {KEY: "nowu640", b"k-second": "nowu640", OTHER_KEY: "goka901"}
--- a/tests/wire_compatibility.py
+++ b/tests/wire_compatibility.py
@@ -1,8 +1,8 @@
-"""Messages and values on disk of the version that landed before this one (commit 863ec06), read and written
-by this one, so that both may run beside each other and a folder outlives the change of versions.
+"""Compatibility with the messages and stored values of an earlier version (commit 863ec06): both versions may
+run together, and a data folder remains usable after an upgrade or a downgrade.
 
-`data/landed_863ec06.json` was written by that version: the frames that its stores, edges and leader put on
-their links, and the values that its store put on its disk.
+`data/landed_863ec06.json` was written by that version: the frames that its stores, edges and leader sent, and
+the values that its store wrote to disk.
 """
 
 import functools
@@ -24,12 +24,12 @@
 
 RECORDED = json.loads((Path(__file__).parent / "data" / "landed_863ec06.json").read_text())
 MODULES = (transport_messages, control_protocol, store_protocol)
-ENVELOPE = {"q", "a", "raw"}  # fields of a frame's head that are not its message's
+ENVELOPE = {"q", "a", "raw"}  # fields of a frame's head that do not belong to the message
 
 
 @functools.cache
 def message_types() -> dict[str, type[PeerMessage]]:
-    """All types of messages, by their operations."""
+    """All message types, by operation."""
     types = {one for module in MODULES for one in vars(module).values() if isinstance(one, type)}
     abstract = {PeerMessage, PeerRequest}
     return {operation_of(one): one for one in types if issubclass(one, PeerMessage) and one not in abstract}
@@ -41,18 +41,18 @@
 
 
 def fields_of(head: bytes) -> dict:
-    """A message's own fields, without those that say nothing."""
+    """The fields of a message, without default values."""
     given = json.loads(head)
-    return spoken({name: value for name, value in given.items() if name not in ENVELOPE})
+    return without_defaults({name: value for name, value in given.items() if name not in ENVELOPE})
 
 
-def spoken(value: object) -> object:
+def without_defaults(value: object) -> object:
     if not isinstance(value, dict):
         return value
-    return {name: spoken(inner) for name, inner in value.items() if inner not in SILENT}
+    return {name: without_defaults(inner) for name, inner in value.items() if inner not in DEFAULTS}
 
 
-SILENT = (None, False, "", [], {}, [0, 0])  # what is left out on the wire now: a reader takes it for granted
+DEFAULTS = (None, False, "", [], {}, [0, 0])  # default values, which are not sent now
 
 
 def shows_each_message_of_the_landed_version_is_read_and_written_as_it_was() -> None:
@@ -61,7 +61,7 @@
         message_type = message_types()[recorded["operation"]]
         message = msgspec.json.decode(frame.head, type=message_type)
         before, now = fields_of(frame.head), fields_of(msgspec.json.encode(message))
-        # A version that does not know `whole` takes a disk for complete, so that is left out too.
+        # A version that does not know `whole` takes a disk for complete, so the value is not sent.
         assert now | {"whole": True} == before | {"whole": before.get("whole", True)} or now == before, (
             recorded["operation"],
             before,
@@ -83,7 +83,7 @@
         response = response_decoder(message_type.response_type)(frame)
         assert response.body == frame.body
         before, now = fields_of(frame.head), fields_of(msgspec.json.encode(response.message))
-        # The last page of a list is what a reader takes for granted.
+        # `last` is true by default.
         without = {name: value for name, value in before.items() if (name, value) != ("last", True)}
         assert now == without, (recorded["operation"], before, now)
 
@@ -105,7 +105,7 @@
         message = msgspec.json.decode(frame.head, type=message_types()[recorded["operation"]])
         written = encode_frame(msgspec.json.encode(message), frame.body, frame.envelope.call_number)
         same += written == recorded["frame"].encode("latin-1")
-    # All but those that had their fields in another order (put, join, renew, snapshots), or empty ones.
+    # All except those whose fields were in another order (put, join, renew, snapshots) or empty.
     assert same >= 20, same
 
 
