--- a/sableford/common/disk.py
+++ b/sableford/common/disk.py
@@ -144,12 +144,12 @@
                     return
                 yield bytes(key), _checked(bytes(key), stored)
 
-    def write(self, puts: Puts, more: bool = False) -> "asyncio.Future[bool]":
-        """Writes atomically and synced, in the order of calls. `more`: the write adds data, and fails
+    def write(self, puts: Puts, adds_data: bool = False) -> "asyncio.Future[bool]":
+        """Writes atomically and synced, in the order of calls. `adds_data`: the write adds data, and fails
         with DiskFullError rather than use the reserve."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
-        self._queue.put(_Write(puts, more, loop, future))
+        self._queue.put(_Write(puts, adds_data, loop, future))
         return future
 
     def read(self, key: bytes) -> "asyncio.Future[bytes | None]":
--- a/sableford/common/settings.py
+++ b/sableford/common/settings.py
@@ -29,19 +29,19 @@
     disk_mb: float = 0
 
 
-class Addresses(msgspec.Struct, rename="camel"):
+class BindAddresses(msgspec.Struct, rename="camel"):
     public_http: str | None = None
     ready_probe: str | None = None
     control_rpc: str | None = None
 
 
-class Tolerates(msgspec.Struct, rename="camel"):
+class FaultTolerance(msgspec.Struct, rename="camel"):
     machine_loss: int = 0
     zones: int = 0
     region_loss: int = 0
 
 
-class Bounds(msgspec.Struct, rename="camel"):
+class RuleBounds(msgspec.Struct, rename="camel"):
     """The time limits of `ruleBounds`, in ms or seconds as the names say."""
 
     seed_stale_s: float = 3
@@ -92,15 +92,15 @@
     machine_class: str = ""
     region: str = ""
     zones: dict[str, str] = {}
-    bind_addrs: Addresses = msgspec.field(default_factory=Addresses)
+    bind_addrs: BindAddresses = msgspec.field(default_factory=BindAddresses)
     seed_nodes: list[str] = []
     bootstrap: bool = False
     quorum_member: bool = False
     limits: Limits = msgspec.field(default_factory=Limits)
     data_dir: str | None = None
     heartbeat_ms: float = 1200
-    tolerates: Tolerates = msgspec.field(default_factory=Tolerates)
-    rule_bounds: Bounds = msgspec.field(default_factory=Bounds)
+    tolerates: FaultTolerance = msgspec.field(default_factory=FaultTolerance)
+    rule_bounds: RuleBounds = msgspec.field(default_factory=RuleBounds)
     cloud_api: CloudApi | None = None
     rule_parts: list[str] = []  # required of this deployment
 
@@ -140,7 +140,7 @@
     return host, int(port)
 
 
-def _check_cloud_api(cloud_api: CloudApi, bounds: Bounds) -> None:
+def _check_cloud_api(cloud_api: CloudApi, bounds: RuleBounds) -> None:
     """Validates `cloudApi` and the bounds that belong to it. Raises ValueError."""
     address(cloud_api.address)
     positive = {
--- a/sableford/control/http_api.py
+++ b/sableford/control/http_api.py
@@ -27,8 +27,8 @@
 from sableford.control.roster import Outcome
 from sableford.control.timing import APPLY_WAIT_MS
 from sableford.control.workers import Worker
-from sableford.transport.call_tree import ANY, Tree
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
+from sableford.transport.path_router import ANY, PathRouter
 
 CALLER_TIMEOUT_MS = 1000.0  # of silence, after which callers go to another control machine (PROTOCOL.md)
 MAJORITY_TIMEOUT_MS = 700.0  # some less than a caller waits, so that it is told
@@ -90,9 +90,9 @@
     )
 
 
-def refusal(status: int, reason: str) -> Answer:
+def refusal(status: int, reason: str) -> HttpResponse:
     """An answer that says why; with 503 also when to come back."""
-    return Answer(status, orjson.dumps({"reason": reason}), RETRY_AFTER if status == 503 else ())
+    return HttpResponse(status, orjson.dumps({"reason": reason}), RETRY_AFTER if status == 503 else ())
 
 
 class HttpApi:
@@ -107,11 +107,11 @@
             "read": {"GET": self._read_configuration},
         }
         retirement = {"start": {"POST": self._retire}, "read": {"GET": self._read_retirement}}
-        self._calls = Tree(
+        self._calls = PathRouter(
             {"v1": {"instances": {ANY: instance}, "config": config, "retire": {ANY: retirement}}}
         )
 
-    def handle(self, request: Request) -> Answer | Awaitable[Answer]:
+    def handle(self, request: HttpRequest) -> HttpResponse | Awaitable[HttpResponse]:
         """Answered here by the leader; elsewhere the caller is sent to it."""
         call, given = self._calls.find(request.method, request.path)
         if isinstance(call, int):
@@ -120,22 +120,22 @@
             return self._redirect(request)
         return self._checked(call(request, *given))
 
-    async def _checked(self, answer: Awaitable[Answer]) -> Answer:
+    async def _checked(self, answer: Awaitable[HttpResponse]) -> HttpResponse:
         try:
             return await answer
         except InvalidRequestError as problem:
             return refusal(400, str(problem))
 
-    def _redirect(self, request: Request) -> Answer:
+    def _redirect(self, request: HttpRequest) -> HttpResponse:
         address = self._control.leader_address()
         if not address:
             return refusal(503, "no leader is known here")
         target = request.target.decode("latin-1")
-        return Answer(307, b"", (("Location", f"http://{address}{target}"),))
+        return HttpResponse(307, b"", (("Location", f"http://{address}{target}"),))
 
     # Workers
 
-    async def _heartbeat(self, request: Request, id: str) -> Answer:
+    async def _heartbeat(self, request: HttpRequest, id: str) -> HttpResponse:
         control = self._control
         worker = worker_of(requests.worker_id(id), requests.heartbeat(request.body))
         update_number, effects = control.coordinator.worker_heartbeat(control.now(), worker)
@@ -145,15 +145,15 @@
         if not control.leads_with_majority():
             return refusal(503, order_process.NO_MAJORITY)
         address = control.own_address()
-        return Answer(200, orjson.dumps({"beatTarget": address} if address else {}))
+        return HttpResponse(200, orjson.dumps({"beatTarget": address} if address else {}))
 
-    async def _leave(self, request: Request, id: str) -> Answer:
+    async def _leave(self, request: HttpRequest, id: str) -> HttpResponse:
         control = self._control
         update_number, effects = control.coordinator.worker_left(control.now(), requests.worker_id(id))
         control.carry_out(effects)
         if not await self._is_known_to_stores(update_number):
             return refusal(503, "not known to all yet")
-        return Answer(200, b"{}")
+        return HttpResponse(200, b"{}")
 
     async def _is_known_to_stores(self, update_number: int) -> bool:
         """Whether all stores have applied it, and this process leads: one that woke from a freeze has nobody
@@ -165,7 +165,7 @@
 
     # The configuration
 
-    async def _order(self, kind: OrderKind, request: Request) -> Answer:
+    async def _order(self, kind: OrderKind, request: HttpRequest) -> HttpResponse:
         bases = [value.decode("latin-1") for name, value in request.headers if name == b"base-version"]
         order = requests.configuration_order(kind, bases, request.body)
         process = OrderProcess(order)
@@ -176,7 +176,9 @@
         self._control.log.event(
             "order", kind=kind.value, base=order.base, status=effect.status, **effect.body
         )
-        return Answer(effect.status, orjson.dumps(effect.body), RETRY_AFTER if effect.status == 503 else ())
+        return HttpResponse(
+            effect.status, orjson.dumps(effect.body), RETRY_AFTER if effect.status == 503 else ()
+        )
 
     async def _step(
         self, process: OrderProcess, effect: order_process.Effect, until: float
@@ -197,16 +199,16 @@
                 return process.members_awaited(revision)
         raise AssertionError(effect)
 
-    async def _read_configuration(self, request: Request) -> Answer:
+    async def _read_configuration(self, request: HttpRequest) -> HttpResponse:
         if not await self._control.majority(MAJORITY_TIMEOUT_MS):
             return refusal(503, order_process.NO_MAJORITY)
         if self._control.state.doc is None:
             return refusal(404, "there is no configuration yet")
-        return Answer(200, orjson.dumps(self._control.state.doc))
+        return HttpResponse(200, orjson.dumps(self._control.state.doc))
 
     # Retirement
 
-    async def _retire(self, request: Request, node: str) -> Answer:
+    async def _retire(self, request: HttpRequest, node: str) -> HttpResponse:
         control = self._control
         requests.retirement(request.body)
         if not await control.confirms_roster() or not control.leads:
@@ -221,14 +223,14 @@
         if outcome is Outcome.NOT_LEADING:
             return refusal(503, "leads no more")
         control.log.event("retire", store=node, status=200)
-        return Answer(200, self._phase(node))
+        return HttpResponse(200, self._phase(node))
 
-    async def _read_retirement(self, request: Request, node: str) -> Answer:
+    async def _read_retirement(self, request: HttpRequest, node: str) -> HttpResponse:
         if not await self._control.confirms_roster():
             return refusal(503, "the core does not agree now")
         if self._control.retirement_phase(node) is None:
             return refusal(404, "not being emptied")
-        return Answer(200, self._phase(node))
+        return HttpResponse(200, self._phase(node))
 
     def _phase(self, node: str) -> bytes:
         phase = self._control.retirement_phase(node)
--- a/sableford/control/service.py
+++ b/sableford/control/service.py
@@ -52,7 +52,7 @@
 from sableford.duties.state import DutyState
 from sableford.duties.time_of_day import TimeOfDay
 from sableford.duties.usage_ledger import UsageLedger
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 from sableford.transport.link import Link
 from sableford.transport.link_pool import LinkPool
 from sableford.transport.peer_server import PeerServer
@@ -304,7 +304,7 @@
 
     # For the calls of workers and operators
 
-    def handle(self, request: Request) -> Answer | Awaitable[Answer]:
+    def handle(self, request: HttpRequest) -> HttpResponse | Awaitable[HttpResponse]:
         """A call over HTTP."""
         return self._http_api.handle(request)
 
--- a/sableford/duties/platform_client.py
+++ b/sableford/duties/platform_client.py
@@ -46,7 +46,7 @@
             if not may_send():
                 return CallOutcome(Verdict.NOT_SENT, why="not this store's to send any more")
             async with asyncio.timeout(timeout_ms / 1000.0):
-                response = await connection.ask(self._request(call))
+                response = await connection.send_request(self._request(call))
             return _outcome_of(response.status)
         except (TimeoutError, CallError, OSError) as problem:
             return CallOutcome(Verdict.UNCLEAR, why=f"{type(problem).__name__}: {problem}")
--- a/sableford/edge/authentication.py
+++ b/sableford/edge/authentication.py
@@ -11,8 +11,8 @@
 
 import re
 
-from sableford.transport.http import Request
-from sableford.transport.routes import Route, Table
+from sableford.transport.http import HttpRequest
+from sableford.transport.routes import Route, RoutingTable
 
 SCHEME = "Token"
 CREDENTIALS = re.compile(rb"token +([!-~\x80-\xff]+)", re.IGNORECASE)  # RFC 9110, section 11.4
@@ -23,7 +23,7 @@
     """The request needs a key and has none that the configuration knows. The error never contains the key."""
 
 
-def authenticate(request: Request, route: Route, table: Table) -> str:
+def authenticate(request: HttpRequest, route: Route, table: RoutingTable) -> str:
     """Returns the tenant that sends a message to `route`, or NO_TENANT if none is needed.
 
     Raises UnauthorizedError."""
@@ -37,7 +37,7 @@
     raise UnauthorizedError
 
 
-def authenticate_reader(request: Request, table: Table) -> str:
+def authenticate_reader(request: HttpRequest, table: RoutingTable) -> str:
     """Returns the tenant that reads tenant data. Raises UnauthorizedError."""
     tenant = _tenant_of(request, table)
     if tenant is None:
@@ -45,6 +45,6 @@
     return tenant
 
 
-def _tenant_of(request: Request, table: Table) -> str | None:
+def _tenant_of(request: HttpRequest, table: RoutingTable) -> str | None:
     credentials = CREDENTIALS.fullmatch((request.get(b"authorization") or "").encode("latin-1").strip(b" \t"))
     return table.tenant_of(credentials[1]) if credentials is not None else None
--- a/sableford/edge/gateway.py
+++ b/sableford/edge/gateway.py
@@ -23,10 +23,10 @@
 from sableford.edge.shard_availability import ShardAvailability
 from sableford.node.runtime import Runtime
 from sableford.store.protocol import ISOLATED, PutRequest
-from sableford.transport.http import Answer, Bounds, Request
+from sableford.transport.http import ConnectionLimits, HttpRequest, HttpResponse
 from sableford.transport.http_server import HttpServer
 from sableford.transport.link import Link
-from sableford.transport.routes import Route, Table
+from sableford.transport.routes import Route, RoutingTable
 
 PUT_TIMEOUT_MS = 700.0  # for an owner to answer a put; after that the outcome is unknown
 RETRY_MS = 25.0  # between two attempts while a shard has no usable owner
@@ -49,8 +49,8 @@
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime, self.log, self.links, self.member = runtime, runtime.log, runtime.links, runtime.member
-        self.table = Table()
-        self.bounds, self.probe_bounds = Bounds(), Bounds()
+        self.table = RoutingTable()
+        self.bounds, self.probe_bounds = ConnectionLimits(), ConnectionLimits()
         self._server = HttpServer(self.handle, self.bounds)
         self._probe_server = HttpServer(self._handle_probe, self.probe_bounds)
         self._shards_in_zone: list[int] = []  # owned by stores in this zone
@@ -79,7 +79,7 @@
         started_at = self.runtime.now()
         grace = self.runtime.settings.rule_bounds.grace_s * 1000.0
         await asyncio.sleep(min(DRAIN_DELAY_MS, grace / 2.0) / 1000.0)
-        self._server.shut()
+        self._server.stop_accepting()
         while self._server.busy() and self.runtime.now() - started_at < grace - CLOSE_MARGIN_MS:
             await asyncio.sleep(0.02)
         self.log.event("ended", busy=self._server.busy())
@@ -88,16 +88,21 @@
 
     def configuration_changed(self, config: ConfigurationVersion) -> None:
         """Applies a new version of the configuration."""
-        bounds, table = self.bounds, Table(config.revision, config.document)
+        bounds, table = self.bounds, RoutingTable(config.revision, config.document)
         limits = table.limits
-        head = int(limits.get("maxHeaderBytes", bounds.head))
-        body = int(limits.get("maxBodyBytes", bounds.body))
-        head_ms = float(limits.get("headerTimeoutMs", bounds.head_ms))
-        idle_ms = float(limits.get("idleTimeoutMs", bounds.idle_ms))
+        head = int(limits.get("maxHeaderBytes", bounds.max_head_bytes))
+        body = int(limits.get("maxBodyBytes", bounds.max_body_bytes))
+        head_ms = float(limits.get("headerTimeoutMs", bounds.head_timeout_ms))
+        idle_ms = float(limits.get("idleTimeoutMs", bounds.idle_timeout_ms))
         self.table = self._queries.table = (
             table  # assigned only after everything was parsed, so that a bad version is not half applied
         )
-        bounds.head, bounds.body, bounds.head_ms, bounds.idle_ms = head, body, head_ms, idle_ms
+        bounds.max_head_bytes, bounds.max_body_bytes, bounds.head_timeout_ms, bounds.idle_timeout_ms = (
+            head,
+            body,
+            head_ms,
+            idle_ms,
+        )
         self.log.event("config", revision=self.table.revision)
 
     def view_changed(self, view: View) -> None:
@@ -124,14 +129,14 @@
             return False
         return self._knows_configuration()
 
-    def _handle_probe(self, request: Request) -> Answer:
+    def _handle_probe(self, request: HttpRequest) -> HttpResponse:
         if request.path != READINESS_PATH:
-            return Answer(404)
-        return Answer(200 if self.is_ready() else 503)
+            return HttpResponse(404)
+        return HttpResponse(200 if self.is_ready() else 503)
 
     # Requests
 
-    def handle(self, request: Request) -> Answer | Awaitable[Answer]:
+    def handle(self, request: HttpRequest) -> HttpResponse | Awaitable[HttpResponse]:
         """Handles a client's request."""
         if (answer := self._queries.handle(request)) is not None:
             return answer
@@ -141,15 +146,17 @@
             host = host_of(request)
             route = self.table.find(host, request.path)
             if route is None:
-                return Answer(404, b'{"reason":"no route"}')
+                return HttpResponse(404, b'{"reason":"no route"}')
             fields = fields_of(request, route, authenticate(request, route, self.table))
         except UnauthorizedError:
             return unauthorized()
         except FieldError as problem:
-            return Answer(400, orjson.dumps({"reason": str(problem)}))
+            return HttpResponse(400, orjson.dumps({"reason": str(problem)}))
         return self._accept_message(request, route, fields)
 
-    async def _accept_message(self, request: Request, route: Route, fields: MessageFields) -> Answer:
+    async def _accept_message(
+        self, request: HttpRequest, route: Route, fields: MessageFields
+    ) -> HttpResponse:
         """Sends a message to the owner of its shard until it is stored or the client's deadline is near."""
         now, client_deadline_ms = self.runtime.now(), fields.client_deadline_ms
         wait_ms = min(client_deadline_ms, route.deadline_ms, UNCLEAR_TIMEOUT_MS) - RESPONSE_MARGIN_MS
@@ -167,7 +174,7 @@
                 progress.add(outcome)
                 if progress.kept:
                     self._availability.accepted(put.shard)
-                    return Answer(202, b"", (("Message-Ref", put.ref),))
+                    return HttpResponse(202, b"", (("Message-Ref", put.ref),))
                 self._record_refusal(put, reason)
             may_become_clear = progress.unclear and self._any_store_responds()
             if self.runtime.now() >= (until if may_become_clear else hold_until):
@@ -181,7 +188,7 @@
                     continue
             await wait_for_event(changed, RETRY_MS)
         if progress.status() == 504:
-            return Answer(504, b'{"reason":"not known whether it was taken"}')
+            return HttpResponse(504, b'{"reason":"not known whether it was taken"}')
         return refused("no store could take it", 0)
 
     def _link_for(self, put: PutRequest, progress: PutProgress) -> Link | None:
@@ -207,7 +214,7 @@
         """False if the message is bound to one shard and too few stores are left to open it."""
         return not put.key or not self._availability.is_closed_for_long(self.runtime.now(), put.shard)
 
-    def _put_request(self, request: Request, fields: MessageFields) -> PutRequest:
+    def _put_request(self, request: HttpRequest, fields: MessageFields) -> PutRequest:
         shard = shard_of(order_key(fields.tenant, fields.key)) if fields.key else self._next_shard()
         return PutRequest(
             id=fields.id,
--- a/sableford/edge/message_fields.py
+++ b/sableford/edge/message_fields.py
@@ -3,7 +3,7 @@
 import re
 from typing import NamedTuple
 
-from sableford.transport.http import Request
+from sableford.transport.http import HttpRequest
 from sableford.transport.routes import Route
 
 # ASCII digits with an optional fraction and a small exponent, as programs print numbers. `float` alone would
@@ -38,14 +38,14 @@
     unordered_key: str = ""  # the order key of a message whose route is not ordered
 
 
-def check_single_fields(request: Request) -> None:
+def check_single_fields(request: HttpRequest) -> None:
     """Raises FieldError if a single-valued field is given more than once."""
     for name in SINGLE_VALUED:
         if request.count(name) > 1:
             raise FieldError(f"{name.decode().title()} is given more than once")
 
 
-def host_of(request: Request) -> str:
+def host_of(request: HttpRequest) -> str:
     """Returns the Host of the request. Raises FieldError."""
     check_single_fields(request)
     host = request.get(b"host")
@@ -54,7 +54,7 @@
     return host
 
 
-def fields_of(request: Request, route: Route, tenant: str = "") -> MessageFields:
+def fields_of(request: HttpRequest, route: Route, tenant: str = "") -> MessageFields:
     """Parses the fields of a message that a tenant sends. Raises FieldError."""
     id = request.get(b"attempt-id")
     if not id:
@@ -72,10 +72,10 @@
     )
 
 
-def milliseconds(request: Request, name: bytes, default: float) -> float:
+def milliseconds(request: HttpRequest, name: bytes, default: float) -> float:
     """Parses a number of milliseconds; returns `default` if the field is missing. Raises FieldError.
 
-    >>> milliseconds(Request("POST", b"/", [(b"delay-ms", b"1500.5")], b"", True), b"delay-ms", 0.0)
+    >>> milliseconds(HttpRequest("POST", b"/", [(b"delay-ms", b"1500.5")], b"", True), b"delay-ms", 0.0)
     1500.5
     """
     text = (request.get(name) or "").strip(" \t")
--- a/sableford/edge/message_queries.py
+++ b/sableford/edge/message_queries.py
@@ -13,20 +13,20 @@
 from sableford.control.view import shard_in, tag_in, tenant_tag
 from sableford.edge.authentication import UnauthorizedError, authenticate_reader
 from sableford.edge.message_fields import FieldError, check_single_fields
-from sableford.edge.message_status import StoreResponse, final_response
+from sableford.edge.message_status import StoreResponse, conclusive_response
 from sableford.edge.responses import refused, unauthorized
 from sableford.edge.retry_wait import wait_for_event
 from sableford.node.runtime import Runtime
 from sableford.store.protocol import BodyRequest, StatusRequest, StatusResponse
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 from sableford.transport.link import Link
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 
 RETRY_MS = 50.0  # between two rounds of requests to the stores
 STORE_TIMEOUT_MS = 500.0  # for the response of one store
 STATUS_TIMEOUT_MS = 1700.0  # clients wait two seconds for a state
 STATUS_PATH, BODY_PATH = "/v1/message/", "/v1/message-body/"
-NO_MESSAGE = Answer(404, b'{"reason":"no such message"}')
+NO_MESSAGE = HttpResponse(404, b'{"reason":"no such message"}')
 
 
 class MessageQueries:
@@ -36,9 +36,9 @@
     def __init__(self, runtime: Runtime, knows_configuration: Callable[[], bool]) -> None:
         self._runtime, self._links, self._member = runtime, runtime.links, runtime.member
         self._knows_configuration = knows_configuration
-        self.table = Table()
+        self.table = RoutingTable()
 
-    def handle(self, request: Request) -> Answer | Awaitable[Answer] | None:
+    def handle(self, request: HttpRequest) -> HttpResponse | Awaitable[HttpResponse] | None:
         """The response to a query, or None if the request is not a query."""
         if request.method != "GET":
             return None
@@ -48,7 +48,7 @@
                 return self._access_denied(request, ref) or answer(ref)
         return None
 
-    def _access_denied(self, request: Request, ref: str) -> Answer | None:
+    def _access_denied(self, request: HttpRequest, ref: str) -> HttpResponse | None:
         """The response that denies access to the message, or None if access is allowed."""
         tag = tag_in(ref)
         if not tag:
@@ -59,12 +59,12 @@
             check_single_fields(request)
             tenant = authenticate_reader(request, self.table)
         except FieldError as problem:
-            return Answer(400, orjson.dumps({"reason": str(problem)}))
+            return HttpResponse(400, orjson.dumps({"reason": str(problem)}))
         except UnauthorizedError:
             return unauthorized()
         return None if tenant_tag(tenant) == tag else NO_MESSAGE
 
-    async def _get_state(self, ref: str) -> Answer:
+    async def _get_state(self, ref: str) -> HttpResponse:
         shard, until = shard_in(ref), self._runtime.now() + STATUS_TIMEOUT_MS
         if shard is None:
             return NO_MESSAGE
@@ -72,7 +72,7 @@
             changed = self._member.changed
             found = await self._query_state(shard, ref)
             if found is not None and found.state is not None:
-                return Answer(200, msgspec.json.encode(found.state))
+                return HttpResponse(200, msgspec.json.encode(found.state))
             if found is not None:
                 return NO_MESSAGE
             await wait_for_event(changed, RETRY_MS)
@@ -84,11 +84,11 @@
         from_owner = await self._query_store(owner, ref)
         responses = [] if from_owner is None else [from_owner]
         owner_response = from_owner.response if from_owner is not None else None
-        if (found := final_response(responses, owner_response, self._sufficient_count())) is not None:
+        if (found := conclusive_response(responses, owner_response, self._sufficient_count())) is not None:
             return found
         other_responses = await asyncio.gather(*(self._query_store(name, ref) for name in others))
         responses += [one for one in other_responses if one is not None]
-        return final_response(responses, owner_response, self._sufficient_count())
+        return conclusive_response(responses, owner_response, self._sufficient_count())
 
     async def _query_store(self, name: str, ref: str) -> StoreResponse | None:
         """None if the store did not answer, or answered for another message."""
@@ -106,7 +106,7 @@
         store = self._member.view.live_stores.get(name)
         return store is not None and store.complete and store.incarnation == link.incarnation
 
-    async def _get_body(self, ref: str) -> Answer:
+    async def _get_body(self, ref: str) -> HttpResponse:
         """Reads the body from the owner or any other store: all copies are identical."""
         shard, until = shard_in(ref), self._runtime.now() + STATUS_TIMEOUT_MS
         if shard is None:
@@ -121,7 +121,7 @@
                 if result.message is None or result.message.ref not in ("", ref):
                     continue
                 if result.message.found:
-                    return Answer(200, result.body, kind="application/octet-stream")
+                    return HttpResponse(200, result.body, kind="application/octet-stream")
                 missing_count += self._is_complete(name, link)
             if missing_count >= max(1, self._sufficient_count()):
                 return NO_MESSAGE
--- a/sableford/edge/message_status.py
+++ b/sableford/edge/message_status.py
@@ -18,7 +18,7 @@
     is_complete: bool = True
 
 
-def final_response(
+def conclusive_response(
     responses: Sequence[StoreResponse], owner_response: StatusResponse | None, sufficient: int
 ) -> StatusResponse | None:
     """The conclusive response so far, or None. `owner_response` is the one, also in `responses`, of the store
@@ -28,14 +28,14 @@
     >>> pending = StatusResponse(MessageState("pending"))
     >>> ended = StatusResponse(MessageState("complete", "s"))
     >>> def given(*responses): return [StoreResponse(response) for response in responses]
-    >>> final_response(given(pending), None, 2)
-    >>> final_response(given(pending, ended), None, 3) is ended
+    >>> conclusive_response(given(pending), None, 2)
+    >>> conclusive_response(given(pending, ended), None, 3) is ended
     True
-    >>> final_response(given(pending), pending, 2) is pending
+    >>> conclusive_response(given(pending), pending, 2) is pending
     True
-    >>> final_response(given(StatusResponse(), pending), None, 2) is pending
+    >>> conclusive_response(given(StatusResponse(), pending), None, 2) is pending
     True
-    >>> final_response([*given(StatusResponse()), StoreResponse(StatusResponse(), False)], None, 2)
+    >>> conclusive_response([*given(StatusResponse()), StoreResponse(StatusResponse(), False)], None, 2)
     """
     received = [one.response for one in responses]
     ended = next((response for response in received if response.has_ended()), None)
--- a/sableford/simulation/control/cluster.py
+++ b/sableford/simulation/control/cluster.py
@@ -13,11 +13,11 @@
 
 from sableford.common.settings import (
     USAGE_REPORT,
-    Addresses,
-    Bounds,
+    BindAddresses,
     CloudApi,
+    FaultTolerance,
+    RuleBounds,
     Settings,
-    Tolerates,
 )
 from sableford.node import runtime as node_runtime
 from sableford.simulation.control.disk import Platter, SimulatedDisk
@@ -25,7 +25,7 @@
 from sableford.simulation.control.network import Network
 from sableford.simulation.control.platform import HOST, PORT, Platform
 from sableford.simulation.control.programs import EdgeProgram, Program, StoreProgram
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 
 INNER_PORT, CONTROL_PORT = 7300, 8262
 SILENCE_S = 1.0  # of an answer: then a caller goes on to another machine
@@ -147,12 +147,12 @@
             bind_ip=machine.host,
             zone=machine.zone,
             port_range=(INNER_PORT, INNER_PORT + 15),
-            bind_addrs=Addresses(control_rpc=control),
+            bind_addrs=BindAddresses(control_rpc=control),
             seed_nodes=machine.seeds,
             bootstrap=machine.bootstrap,
             quorum_member=machine.role == "store",
-            tolerates=Tolerates(machine_loss=self.losses),
-            rule_bounds=Bounds(
+            tolerates=FaultTolerance(machine_loss=self.losses),
+            rule_bounds=RuleBounds(
                 lease_ms=DUTY_LEASE_MS, usage_window_s=USAGE_WINDOW_S, usage_late_s=USAGE_LATE_S
             ),
             cloud_api=CloudApi(f"{HOST}:{PORT}", [USAGE_REPORT]) if self.platform is not None else None,
@@ -225,12 +225,12 @@
 
     async def call(
         self, address: str, method: str, target: str, body: bytes, headers: tuple, on_loss: Callable[[], None]
-    ) -> Answer | None:
+    ) -> HttpResponse | None:
         """The answer, or none: a refusal to connect or a second of silence. `on_loss` is told where the way
         between caller and machine is at fault."""
         await asyncio.sleep(self.network.delay())
         machine = self.machines.get(address.partition(":")[0])
-        request = Request(method, target.encode(), list(headers), body, True)
+        request = HttpRequest(method, target.encode(), list(headers), body, True)
         lost = self._chance.random() < self.lost_requests
         if lost:
             on_loss()
@@ -242,7 +242,7 @@
         future = self.loop.create_future()
         lost = self._chance.random() < self.lost_answers
 
-        def reply(answer: Answer) -> None:
+        def reply(answer: HttpResponse) -> None:
             if lost:
                 on_loss()
             else:
@@ -256,7 +256,7 @@
         except TimeoutError:
             return None
 
-    def _serve(self, machine: Machine, request: Request, reply: Callable[[Answer], None]) -> bool:
+    def _serve(self, machine: Machine, request: HttpRequest, reply: Callable[[HttpResponse], None]) -> bool:
         """Whether a process is there to take it."""
         if machine.process is None or machine.program is None:
             return False
@@ -264,10 +264,10 @@
         return True
 
 
-def _unheard(answer: Answer) -> None:
+def _unheard(answer: HttpResponse) -> None:
     """Its caller has gone on."""
 
 
-def _give(future: asyncio.Future, answer: Answer) -> None:
+def _give(future: asyncio.Future, answer: HttpResponse) -> None:
     if not future.done():
         future.set_result(answer)
--- a/sableford/simulation/control/disk.py
+++ b/sableford/simulation/control/disk.py
@@ -48,7 +48,7 @@
     def load(self, prefix: bytes) -> list[tuple[bytes, bytes]]:
         return [(key, value) for key, value in sorted(self._platter.kept.items()) if key.startswith(prefix)]
 
-    def write(self, puts: Puts, more: bool = False) -> asyncio.Future:
+    def write(self, puts: Puts, adds_data: bool = False) -> asyncio.Future:
         future = asyncio.get_running_loop().create_future()
         self._queue.append((list(puts), future))
         if not self._under_way:
--- a/sableford/simulation/control/judges.py
+++ b/sableford/simulation/control/judges.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from sableford.common.settings import Bounds
+from sableford.common.settings import RuleBounds
 from sableford.control.protocol import ConfigurationVersion
 from sableford.simulation.control.cluster import Cluster
 
@@ -79,7 +79,7 @@
 class Judges:
     """`found` gets the first finding; after that nothing counts any more."""
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: RuleBounds) -> None:
         self.bounds = bounds
         self.cluster: Cluster | None = None
         self.settled: Any = lambda: False
--- a/sableford/simulation/control/operators.py
+++ b/sableford/simulation/control/operators.py
@@ -8,7 +8,7 @@
 
 from sableford.simulation.control.cluster import Cluster
 from sableford.simulation.control.judges import OPEN, Judges, Order
-from sableford.transport.http import Answer
+from sableford.transport.http import HttpResponse
 
 REDIRECTS = 2
 PAUSE_MS, MOST_PAUSE_MS = 100.0, 800.0  # between two tries, doubling
@@ -31,7 +31,7 @@
 
     async def call(
         self, method: str, target: str, body: bytes = b"", headers: tuple = (), first: str = ""
-    ) -> Answer | None:
+    ) -> HttpResponse | None:
         """One try: at some store, and where that one sends it on to. After a failure it is another's turn."""
         addresses = self.addresses()
         address = first or addresses[self._turn % len(addresses)]
@@ -139,7 +139,7 @@
             await asyncio.sleep(pause / 1000.0)
             pause = min(pause * 2.0, MOST_PAUSE_MS)
 
-    async def _try(self, order: Order) -> Answer | None:
+    async def _try(self, order: Order) -> HttpResponse | None:
         headers = ((b"base-version", str(order.base).encode()),)
         self.harmed = False
         answer = await self.call("POST", f"/v1/config/{order.kind}", order.body, headers)
--- a/sableford/simulation/control/programs.py
+++ b/sableford/simulation/control/programs.py
@@ -20,7 +20,7 @@
 from sableford.simulation.control.platform import Platform, Traffic
 from sableford.store.duties import StoreDuties
 from sableford.transport.errors import CallError
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 from sableford.transport.link import IncomingMessage
 from sableford.transport.messages import PeerRequest, PeerResponse
 
@@ -174,16 +174,16 @@
         workers = self.member.workers.values()
         self.control.coordinator.observe(self.member.view, workers, self.runtime.now())
 
-    def serve(self, request: Request, reply: Callable[[Answer], None]) -> None:
+    def serve(self, request: HttpRequest, reply: Callable[[HttpResponse], None]) -> None:
         """A control call, in this process."""
         answer = self.control.handle(request)
-        if isinstance(answer, Answer):
+        if isinstance(answer, HttpResponse):
             reply(answer)
             return
         task = self.runtime.spawn(answer)
         task.add_done_callback(lambda done: reply(self._result(done)))
 
-    def _result(self, task: Any) -> Answer:
+    def _result(self, task: Any) -> HttpResponse:
         """A call that fails is answered 500, as by the door."""
         failed = task.cancelled() or task.exception() is not None
-        return Answer(500, b'{"reason":"the call failed"}') if failed else task.result()
+        return HttpResponse(500, b'{"reason":"the call failed"}') if failed else task.result()
--- a/sableford/simulation/control/walk.py
+++ b/sableford/simulation/control/walk.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import NamedTuple
 
-from sableford.common.settings import Bounds
+from sableford.common.settings import RuleBounds
 from sableford.control.protocol import ConfigurationVersion
 from sableford.simulation.control.cluster import (
     DUTY_LEASE_MS,
@@ -67,7 +67,7 @@
     def __init__(self, seed: int, shape: Shape) -> None:
         self.seed, self.shape = seed, shape
         self.chance = Random(f"control {seed}")
-        self.judges = Judges(Bounds())
+        self.judges = Judges(RuleBounds())
         self.judges.only_safety = shape.exceed
         self.loop = SimulatedLoop(self._raised)
         self.cluster = Cluster(self.loop, self.chance, shape.losses, self.judges)
--- a/sableford/simulation/control/workers.py
+++ b/sableford/simulation/control/workers.py
@@ -8,7 +8,7 @@
 from sableford.simulation.control.cluster import Cluster
 from sableford.simulation.control.judges import Judges, Leaving
 from sableford.simulation.control.operators import Caller
-from sableford.transport.http import Answer
+from sableford.transport.http import HttpResponse
 
 BEAT_MS = 1200.0  # heartbeatMs of the settings
 LIFE_MS = 4000.0, 20_000.0
@@ -86,5 +86,5 @@
         self._target = orjson.loads(answer.body).get("beatTarget", "")
         return True
 
-    async def _post(self, id: str, leaf: str, body: bytes) -> Answer | None:
+    async def _post(self, id: str, leaf: str, body: bytes) -> HttpResponse | None:
         return await self.call("POST", f"/v1/instances/{id}/{leaf}", body, first=self._target)
--- a/sableford/simulation/stores/judge.py
+++ b/sableford/simulation/stores/judge.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from sableford.edge.message_status import StoreResponse, final_response
+from sableford.edge.message_status import StoreResponse, conclusive_response
 from sableford.simulation.stores.model import (
     ASK_EVERY_MS,
     ASK_UNTIL_MS,
@@ -81,7 +81,7 @@
             response = StatusResponse(store.queue.status(ref), ref, is_owner)
             heard.append(StoreResponse(response, info.complete and info.incarnation == store.incarnation))
             of_owner = response if name == view.owners[shard] else of_owner
-        return final_response(heard, of_owner, len(view.roster) - MACHINE_LOSS)
+        return conclusive_response(heard, of_owner, len(view.roster) - MACHINE_LOSS)
 
     def _budget_and_delay(self, ref: str, first: str) -> None:
         """A message that fails at each run is given up on, however many owners it had; none runs early."""
--- a/sableford/simulation/stores/store_lives.py
+++ b/sableford/simulation/stores/store_lives.py
@@ -6,7 +6,7 @@
 from sableford.store.choice import Choice
 from sableford.store.departure import may_end
 from sableford.store.messages import Message
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 
 
 class StoreLives(Network):
@@ -20,7 +20,14 @@
         whole, store.empty = store.mark == "whole" or (bootstrap and not store.mark), not store.kept
         store.mark = "whole" if whole else "lost"
         queue = store.queue = self._make(
-            name, store.incarnation, MACHINE_LOSS, Table(1, self.doc), store.choice, 600.0, whole, self.zones
+            name,
+            store.incarnation,
+            MACHINE_LOSS,
+            RoutingTable(1, self.doc),
+            store.choice,
+            600.0,
+            whole,
+            self.zones,
         )
         queue.state.zone_of = dict(store.kept_zones)
         queue.state.view = View(zones=dict(store.kept_zones))
--- a/sableford/store/choice.py
+++ b/sableford/store/choice.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from sableford.policy.bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, breaks, point, within
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 
 CROSSING = 1.0  # jobs added to a worker in another zone: a body that crosses costs 2% of its worth
 SLACK = 0.5  # jobs that a copy may be off before a worker counts as full
@@ -107,7 +107,7 @@
         for id in [id for id, one in self.workers.items() if id not in ids and not one.entry.fixed]:
             self.drop(id)
 
-    def fix(self, now: float, table: Table) -> None:
+    def fix(self, now: float, table: RoutingTable) -> None:
         """Services at one address, by the configuration; they sit on no list."""
         fixed = {f"@{one.name}": one for one in table.backends.values() if one.endpoint}
         for id, known in list(self.workers.items()):
@@ -115,7 +115,7 @@
                 self.drop(id)
         for id, one in fixed.items():
             host, _, port = str(one.endpoint).rpartition(":")
-            entry = WorkerEntry(id, one.name, host, int(port), self.zone, one.conns, True, True)
+            entry = WorkerEntry(id, one.name, host, int(port), self.zone, one.max_connections, True, True)
             if id not in self.workers or self.workers[id].entry != entry:
                 self.put(now, entry, 0.0)
 
--- a/sableford/store/delivery.py
+++ b/sableford/store/delivery.py
@@ -135,7 +135,7 @@
         """The connection is kept only after a whole answer to just this message."""
         try:
             async with asyncio.timeout((left + RESPONSE_SLACK_MS) / 1000.0):
-                response = await connection.ask(request_of(message, body, entry, left))
+                response = await connection.send_request(request_of(message, body, entry, left))
         except TimeoutError:
             connection.drop()
             return Verdict(Execution.UNKNOWN, "no answer by the deadline", reached=False)
@@ -159,7 +159,7 @@
         idle = self._idle.get(destination)
         while idle:
             connection = idle.pop()
-            if connection.usable():
+            if connection.is_reusable():
                 return connection
             connection.drop()
         return None
@@ -167,7 +167,7 @@
     def sweep(self, workers: set[str]) -> None:
         """Connections to those that are gone, and those that rested too long."""
         for destination, idle in list(self._idle.items()):
-            keep = [one for one in idle if destination.id in workers and one.usable()]
+            keep = [one for one in idle if destination.id in workers and one.is_reusable()]
             for one in idle:
                 if one not in keep:
                     one.drop()
--- a/sableford/store/delivery_order.py
+++ b/sableford/store/delivery_order.py
@@ -199,7 +199,7 @@
         ready, overdue = self._ready[backend], self._overdue.setdefault(backend, [])
         while (route := self._first_startable(now, backend, ready)) is not None:
             _, due_at, number, ref = ready[0]
-            if now <= due_at + (route.start_ms or NO_TARGET_MS):
+            if now <= due_at + (route.start_target_ms or NO_TARGET_MS):
                 break
             heappop(ready)
             heappush(overdue, (due_at, number, ref))
--- a/sableford/store/delivery_results.py
+++ b/sableford/store/delivery_results.py
@@ -73,7 +73,7 @@
     def _apply_failure(self, now: float, message: Message) -> None:
         message.attempts += 1
         route = self._state.route_of(message)
-        if route is not None and message.attempts >= route.tries:
+        if route is not None and message.attempts >= route.max_attempts:
             why = f"failed {message.attempts} times"
             self._endings.finish(now, message, self._state.final_state(DEAD_LETTER, why))
         else:
@@ -81,7 +81,7 @@
 
     def _final_state(self, verdict: Verdict) -> FinalState:
         phase = COMPLETE if verdict.execution is Execution.DONE else DEAD_LETTER
-        return self._state.final_state(phase, verdict.why, verdict.seal)
+        return self._state.final_state(phase, verdict.reason, verdict.seal)
 
     # Deliveries of a store that owns the shard no more
 
--- a/sableford/store/effect_executor.py
+++ b/sableford/store/effect_executor.py
@@ -260,7 +260,7 @@
 
         verdict = effect.verdict
         request = DeliveryResultRequest(
-            effect.ref, effect.shard, verdict.execution.value, verdict.why, verdict.seal, verdict.reached
+            effect.ref, effect.shard, verdict.execution.value, verdict.reason, verdict.seal, verdict.reached
         )
         self._call(effect.to, request, answered)
 
@@ -274,7 +274,7 @@
                 ref=effect.ref,
                 worker=effect.worker,
                 ran=verdict.execution.value,
-                why=verdict.why,
+                why=verdict.reason,
             )
         self.carry_out(self._queue.delivered(self._now(), effect.ref, effect.worker, verdict))
 
--- a/sableford/store/message_storage.py
+++ b/sableford/store/message_storage.py
@@ -89,7 +89,7 @@
     def write_message(self, message: Message, clocks: Clocks) -> "asyncio.Future[bool]":
         """The message and its body."""
         key = MESSAGE + message.ref.encode()
-        return self._disk.write([(key, encode_message(message, clocks))], more=True)
+        return self._disk.write([(key, encode_message(message, clocks))], adds_data=True)
 
     def write_final_states(self, final_states: dict[str, FinalState]) -> "asyncio.Future[bool]":
         """Final states by ref, all of them or none."""
--- a/sableford/store/queue.py
+++ b/sableford/store/queue.py
@@ -41,7 +41,7 @@
 from sableford.store.rate_limits import RateLimits
 from sableford.store.replica_placement import ReplicaPlacement
 from sableford.store.shard_takeover import ShardTakeover
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Verdict
 
 
@@ -69,7 +69,7 @@
         name: str,
         incarnation: str,
         machine_loss: int,
-        table: Table,
+        table: RoutingTable,
         choice: Choice,
         status_s: float,
         complete: bool,
@@ -133,7 +133,7 @@
         is_accepted = message.state not in (State.ACCEPTING, State.ENDING)
         return self.state.owns(message) and is_accepted and not self._placement.is_safe(message)
 
-    def configure(self, now: float, table: Table) -> list[Effect]:
+    def configure(self, now: float, table: RoutingTable) -> list[Effect]:
         """Another version of the configuration is in force."""
         self.state.table = table
         self.choice.fix(now, table)
--- a/sableford/store/queue_state.py
+++ b/sableford/store/queue_state.py
@@ -16,7 +16,7 @@
 from sableford.store.messages import Effect, Message
 from sableford.store.protocol import FinalState, MessageState
 from sableford.store.takeover import Takeover
-from sableford.transport.routes import Route, Table
+from sableford.transport.routes import Route, RoutingTable
 
 PENDING, COMPLETE, DEAD_LETTER = "pending", "complete", "dead_letter"  # phases, as clients read them
 
@@ -25,7 +25,7 @@
     """`complete`: the own disk holds all that it ever said to hold. Times are ms of the steady clock, but for
     `unix`."""
 
-    def __init__(self, name: str, incarnation: str, table: Table, complete: bool) -> None:
+    def __init__(self, name: str, incarnation: str, table: RoutingTable, complete: bool) -> None:
         self.me, self.incarnation, self.table, self.complete = name, incarnation, table, complete
         self.lease = 0.0  # until when this process may act
         self.unix = 0.0  # the time of day, as of the last tick
--- a/sableford/store/rate_limits.py
+++ b/sableford/store/rate_limits.py
@@ -5,7 +5,7 @@
 """
 
 from sableford.model.tally import Allowance
-from sableford.transport.routes import Backend, Table
+from sableford.transport.routes import Backend, RoutingTable
 
 ALLOWED_ARRIVALS = 5.0  # beyond a rate in a window (RULES.md, CEILING)
 BURST_PART = 0.8  # of what is allowed beyond a rate is saved up by all stores together
@@ -21,7 +21,7 @@
         self._allowances: dict[str, Allowance] = {}
         self._made_for = (0, -1)  # live stores, revision
 
-    def update(self, now: float, store_count: int, table: Table) -> None:
+    def update(self, now: float, store_count: int, table: RoutingTable) -> None:
         """Shares follow the number of live stores and the configuration."""
         stores = max(1, store_count)
         if self._made_for == (stores, table.revision):
--- a/sableford/store/server.py
+++ b/sableford/store/server.py
@@ -27,11 +27,11 @@
 from sableford.store.peer_requests import PeerRequests
 from sableford.store.protocol import InFlightCounts, InFlightCountsWanted
 from sableford.store.queue import Queue
-from sableford.transport.http import Bounds
+from sableford.transport.http import ConnectionLimits
 from sableford.transport.http_server import HttpServer
 from sableford.transport.link import Link
 from sableford.transport.messages import PeerMessage
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 
 TICK_MS = 15.0  # between two looks at what is due
 REPORT_MS = 40.0  # between two reports to other stores of what is in flight here; with more than
@@ -58,8 +58,8 @@
         self.disk = Disk(_data_folder(Path(settings.data_dir or "")), settings.limits.disk_mb)
         self.choice = Choice(settings.zone, settings.node_name)
         self.control = ControlService(runtime, self.disk)
-        self._http_bounds = Bounds()
-        self._http_bounds.body = MAX_CONTROL_BODY_BYTES
+        self._http_bounds = ConnectionLimits()
+        self._http_bounds.max_body_bytes = MAX_CONTROL_BODY_BYTES
         self._http_server = HttpServer(self.control.handle, self._http_bounds)
         self._duties = StoreDuties(runtime, self.member) if settings.reports_usage else None
         self._written_zones: dict[str, str] = {}  # on the own disk
@@ -138,7 +138,7 @@
             self.runtime.me,
             self.runtime.incarnation,
             tolerates.machine_loss,
-            Table(),
+            RoutingTable(),
             self.choice,
             bounds.status_ttl_s,
             is_complete,
@@ -212,7 +212,7 @@
         self._update_status()
         self.queue.state.full = self.disk.full
         if self.disk.full:  # whether it takes more again: nothing else may ask it to
-            self.disk.write([(PROBE_KEY, b"")], more=True).add_done_callback(_ignore_failure)
+            self.disk.write([(PROBE_KEY, b"")], adds_data=True).add_done_callback(_ignore_failure)
         if self.queue.state.complete and not self._completeness_written:
             self._completeness_written = True
             self.disk.write([(COMPLETE_KEY, COMPLETE)])
@@ -253,7 +253,7 @@
             self.disk.write([(ZONES_KEY, orjson.dumps(zones))]).add_done_callback(_ignore_failure)
 
     def _configuration_changed(self, config: ConfigurationVersion) -> None:
-        table = Table(config.revision, config.document)
+        table = RoutingTable(config.revision, config.document)
         self.executor.carry_out(self.queue.configure(self.runtime.now(), table))
         self.log.event("config", revision=table.revision)
 
@@ -287,7 +287,7 @@
         until = begun_at + grace_ms - DEPARTURE_MARGIN_MS
         while self.runtime.now() < until and not may_end(self.queue):
             await asyncio.sleep(DEPARTURE_CHECK_MS / 1000.0)
-        self._http_server.shut()
+        self._http_server.stop_accepting()
         await asyncio.sleep(CLOSE_MS / 1000.0)
         waited_ms = round(self.runtime.now() - begun_at)
         self.log.event(
--- a/sableford/transport/http.py
+++ b/sableford/transport/http.py
@@ -7,7 +7,7 @@
 BODILESS = (204, 304)  # statuses whose response has no body, whatever its Content-Length (RFC 9110, 6.4.1)
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A complete response; `kind` is its content type."""
 
     status: int
@@ -16,16 +16,16 @@
     kind: str = "application/json"
 
 
-class Bounds:
+class ConnectionLimits:
     """The limits of a connection. They are changed in place when the configuration changes."""
 
     def __init__(self) -> None:
-        self.head, self.body = 16_384, 262_144  # bytes
-        self.head_ms, self.idle_ms = 3000.0, 15_000.0
+        self.max_head_bytes, self.max_body_bytes = 16_384, 262_144  # bytes
+        self.head_timeout_ms, self.idle_timeout_ms = 3000.0, 15_000.0
         self.closing = False  # each response closes its connection
 
 
-class Request:
+class HttpRequest:
     """A complete request. `headers` have lower-case names; trailers are not included."""
 
     __slots__ = ("body", "headers", "keep", "method", "target")
@@ -52,13 +52,13 @@
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
-Handler = Callable[[Request], Answer | Awaitable[Answer]]
+Handler = Callable[[HttpRequest], HttpResponse | Awaitable[HttpResponse]]
 
 
-def answer_bytes(answer: Answer, keep: bool, method: str = "GET") -> bytes:
+def answer_bytes(answer: HttpResponse, keep: bool, method: str = "GET") -> bytes:
     """Encodes a response; without its body for HEAD and for statuses that have none.
 
-    >>> answer_bytes(Answer(204, b"left out"), True)
+    >>> answer_bytes(HttpResponse(204, b"left out"), True)
     b'HTTP/1.1 204 No Content\\r\\n\\r\\n'
     """
     try:
--- a/sableford/transport/http_client.py
+++ b/sableford/transport/http_client.py
@@ -35,14 +35,14 @@
         self.transport: asyncio.Transport | None = None
         self._future: asyncio.Future[Response] | None = None
         self.closed = False
-        self.used = 0
+        self.request_count = 0
         self.idle_since = self._loop.time()
         self.idle_s = IDLE_TIMEOUT_S
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, request: bytes) -> "asyncio.Future[Response]":
+    def send_request(self, request: bytes) -> "asyncio.Future[Response]":
         """Sends a request and returns a future of its Response.
 
         The future fails with NotSentError if nothing was written, and with UnansweredError if no complete
@@ -54,7 +54,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._reset()
         self._head_bytes = 0
-        self.used += 1
+        self.request_count += 1
         self.transport.write(request)
         return self._future
 
@@ -152,7 +152,7 @@
         self._fail(UnansweredError(reason))
         self.drop()
 
-    def usable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether another request may be sent: not if the worker may be closing the connection."""
         idle_for_s = self._loop.time() - self.idle_since
         min_idle_s = min(MIN_IDLE_S, self.idle_s / 2.0)
--- a/sableford/transport/http_server.py
+++ b/sableford/transport/http_server.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from sableford.transport.http import Answer, Bounds, Handler, Request, answer_bytes
+from sableford.transport.http import ConnectionLimits, Handler, HttpRequest, HttpResponse, answer_bytes
 
 SWEEP_S = 0.5  # between two checks for idle and slow connections
 MAX_QUEUED = 16  # pipelined requests of a connection; with more of them reading pauses
@@ -30,7 +30,7 @@
 class HttpServer:
     """A listener and its open connections."""
 
-    def __init__(self, handle: Handler, bounds: Bounds) -> None:
+    def __init__(self, handle: Handler, bounds: ConnectionLimits) -> None:
         self.handle, self.bounds = handle, bounds
         self.open: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
@@ -42,7 +42,7 @@
         self._server = await loop.create_server(lambda: ServerConnection(self), *address, backlog=1024)
         self._sweeper = loop.call_later(SWEEP_S, self._sweep)
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Accepts no new connections. Closes idle connections now, and the others after their responses."""
         if self._server is not None:
             self._server.close()
@@ -59,7 +59,7 @@
         self._sweeper = loop.call_later(SWEEP_S, self._sweep)
         now = loop.time()
         for connection in list(self.open):
-            connection.look(now)
+            connection.check_timeouts(now)
 
 
 class ServerConnection(asyncio.Protocol):
@@ -71,7 +71,7 @@
         self.server = server
         self._parser = httptools.HttpRequestParser(self)
         self._loop = asyncio.get_running_loop()
-        self._queued: deque[Request] = deque()
+        self._queued: deque[HttpRequest] = deque()
         self._queued_bytes = 0  # of the queued bodies
         self._requests_begun = 0  # requests whose first bytes were received
         self._task: asyncio.Task[None] | None = None  # handles the current request
@@ -139,13 +139,13 @@
             return  # a request that began in this read is no longer than the read
         self._received_bytes += size
         bounds = self.server.bounds
-        if not self._head_complete and self._received_bytes > bounds.head:
+        if not self._head_complete and self._received_bytes > bounds.max_head_bytes:
             self._refuse(431)
-        elif self._received_bytes > bounds.head + MAX_CHUNK_OVERHEAD * bounds.body:
+        elif self._received_bytes > bounds.max_head_bytes + MAX_CHUNK_OVERHEAD * bounds.max_body_bytes:
             self._refuse(413)
 
     def _is_queue_full(self) -> bool:
-        return len(self._queued) > MAX_QUEUED or self._queued_bytes > self.server.bounds.body
+        return len(self._queued) > MAX_QUEUED or self._queued_bytes > self.server.bounds.max_body_bytes
 
     # Callbacks of the parser
 
@@ -165,7 +165,7 @@
 
     def _add_head_bytes(self, size: int) -> None:
         self._head_bytes += size
-        if self._head_bytes > self.server.bounds.head:
+        if self._head_bytes > self.server.bounds.max_head_bytes:
             self._stop_parsing(431)
 
     def _stop_parsing(self, status: int) -> None:
@@ -179,7 +179,7 @@
             self._stop_parsing(400)
         continues = False
         for name, value in self._header_list:
-            if name == b"content-length" and int(value) > self.server.bounds.body:
+            if name == b"content-length" and int(value) > self.server.bounds.max_body_bytes:
                 self._stop_parsing(413)
             # Nothing decodes other codings than chunked (RFC 9112, section 6.1).
             if name == b"transfer-encoding" and value.lower() != b"chunked":
@@ -190,7 +190,7 @@
 
     def on_body(self, part: bytes) -> None:
         self._body_bytes += len(part)
-        if self._body_bytes > self.server.bounds.body:
+        if self._body_bytes > self.server.bounds.max_body_bytes:
             self._stop_parsing(413)
         self._body_parts.append(part)
 
@@ -198,7 +198,7 @@
         method = self._parser.get_method().decode("latin-1")
         keep = self._parser.should_keep_alive()
         body = b"".join(self._body_parts)
-        self._queued.append(Request(method, self._url, self._header_list, body, keep))
+        self._queued.append(HttpRequest(method, self._url, self._header_list, body, keep))
         self._queued_bytes += len(body)
         self._receiving = False
         if not keep:
@@ -224,7 +224,7 @@
             except Exception as problem:
                 self._handler_failed(problem)
                 return
-            if not isinstance(answer, Answer):
+            if not isinstance(answer, HttpResponse):
                 self._task = self._loop.create_task(self._respond_later(answer, request))
                 return
             if not self._write(answer, request.keep, request.method):
@@ -235,14 +235,14 @@
     def _finish_queue(self) -> None:
         """All complete requests are answered: sends a pending refusal, closes, or resumes reading."""
         if self._refusal:
-            self._write(Answer(self._refusal), False)
+            self._write(HttpResponse(self._refusal), False)
         elif self._input_ended:
             self._close()
         elif not self.transport.is_closing():
             self._state_since = self._loop.time()
             self.transport.resume_reading()
 
-    async def _respond_later(self, answer: Awaitable[Answer], request: Request) -> None:
+    async def _respond_later(self, answer: Awaitable[HttpResponse], request: HttpRequest) -> None:
         try:
             response = await answer
         except Exception as problem:
@@ -256,9 +256,9 @@
     def _handler_failed(self, problem: Exception) -> None:
         """Logs an exception of the handler and responds with 500."""
         self._loop.call_exception_handler({"message": "a request failed", "exception": problem})
-        self._write(Answer(500), False)
+        self._write(HttpResponse(500), False)
 
-    def _write(self, answer: Answer, keep: bool, method: str = "") -> bool:
+    def _write(self, answer: HttpResponse, keep: bool, method: str = "") -> bool:
         """Writes a response; returns whether the connection stays open."""
         keep = keep and not self.server.bounds.closing
         if self._closed or self.transport.is_closing():
@@ -285,18 +285,18 @@
         if not self.busy():
             self._close()
 
-    def look(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Closes an idle connection and one that reads no responses; refuses a slow request with 408."""
         elapsed_ms = (now - self._state_since) * 1000.0
         bounds = self.server.bounds
         if self._closed or not self._writable:
-            if elapsed_ms > bounds.idle_ms:  # the client does not read its responses
+            if elapsed_ms > bounds.idle_timeout_ms:  # the client does not read its responses
                 self._close()
                 self.transport.abort()
             return
         if self._task is not None or self._queued:
             return
-        if self._receiving and elapsed_ms > bounds.head_ms:
+        if self._receiving and elapsed_ms > bounds.head_timeout_ms:
             self._refuse(408)
-        elif not self._receiving and elapsed_ms > bounds.idle_ms:
+        elif not self._receiving and elapsed_ms > bounds.idle_timeout_ms:
             self.end_if_idle()
--- a/sableford/transport/call_tree.py
+++ b/sableford/transport/path_router.py
@@ -1,7 +1,7 @@
 """Maps the method and path of a request to an API call, by a tree of path segments.
 
 >>> leave = {ANY: {"leave": {"POST": "leave"}}}
->>> tree = Tree({"v1": {"config": {"read": {"GET": "read"}}, "instances": leave}})
+>>> tree = PathRouter({"v1": {"config": {"read": {"GET": "read"}}, "instances": leave}})
 >>> tree.find("POST", "/v1/instances/i-7/leave")
 ('leave', ['i-7'])
 >>> tree.find("GET", "/v1/instances/i-7/leave"), tree.find("GET", "/v2")
@@ -14,7 +14,7 @@
 ANY = "*"  # matches any path segment, which is passed to the call
 
 
-class Tree:
+class PathRouter:
     """`branches` maps path segments to subtrees, and methods to calls."""
 
     def __init__(self, branches: dict[str, Any]) -> None:
--- a/sableford/transport/routes.py
+++ b/sableford/transport/routes.py
@@ -13,9 +13,9 @@
     backend: str
     deadline_ms: float
     target_ms: float
-    start_ms: float
+    start_target_ms: float
     rank: int
-    tries: int
+    max_attempts: int
     fifo: bool
     retention_s: float
     variant: str
@@ -28,13 +28,13 @@
 
     name: str
     idempotent: bool
-    conns: int
+    max_connections: int
     health: str
     endpoint: str | None
     rate: float
 
 
-class Table:
+class RoutingTable:
     """Routes, backends and tenants of one version. `revision` 0: no configuration yet."""
 
     def __init__(self, revision: int = 0, doc: dict[str, Any] | None = None) -> None:
@@ -82,7 +82,7 @@
     def tenant_of(self, key: bytes) -> str | None:
         """Returns the tenant that a key belongs to, or None.
 
-        >>> table = Table(1, {"tenants": [{"name": "a", "apiKeys": ["k1", "k2"]}]})
+        >>> table = RoutingTable(1, {"tenants": [{"name": "a", "apiKeys": ["k1", "k2"]}]})
         >>> table.tenant_of(b"k2"), table.tenant_of(b"k")
         ('a', None)
         """
@@ -92,7 +92,7 @@
         """Finds the route with the longest matching prefix. `host` may include a port.
 
         >>> rest = {"hostname": "H", "backend": "b", "deadlineMs": 1}
-        >>> table = Table(1, {"routes": [rest | {"name": "a", "pathPrefix": "/"},
+        >>> table = RoutingTable(1, {"routes": [rest | {"name": "a", "pathPrefix": "/"},
         ...     rest | {"name": "b", "pathPrefix": "/x/"}]})
         >>> table.find("h:80", "/x/1").name, table.find("h", "/x").name, table.find("i", "/x")
         ('b', 'a', None)
--- a/sableford/transport/verdict.py
+++ b/sableford/transport/verdict.py
@@ -17,10 +17,10 @@
 
 
 class Verdict(NamedTuple):
-    """The outcome of one attempt. `seal` is set on success; `why` is text for operators; `reached` tells
+    """The outcome of one attempt. `seal` is set on success; `reason` is text for operators; `reached` tells
     whether the worker itself has answered."""
 
     execution: Execution
-    why: str = ""
+    reason: str = ""
     seal: str = ""
     reached: bool = True
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -39,7 +39,7 @@
 )
 from sableford.transport.peer_server import PeerServer
 from sableford.transport.pending_calls import PendingCalls
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution
 from tests.memory_network import MemoryTransport, attached, simulated
 
@@ -310,7 +310,7 @@
 
 def shows_a_delivery_begins_only_while_its_store_may_begin_it() -> None:
     """Ownership may be lost after the decision, while the body is read and the worker is dialled."""
-    queue = Queue("me", "m", 0, Table(1, DOC), Choice("z", "me"), 600.0, True)
+    queue = Queue("me", "m", 0, RoutingTable(1, DOC), Choice("z", "me"), 600.0, True)
     state = queue.state
     message = Message(HEADER, b"x", 0.0, 0.0)
     message.state = State.IN_FLIGHT
@@ -369,7 +369,7 @@
 ) -> list[PutResponse | str]:
     """How a store responds to a retried put, given the responses of the other stores `a` and `b`; a store
     that is not named does not respond. `incomplete`: the stores that have lost their disks."""
-    queue = Queue("me", "m", 1, Table(1, DOC), Choice("z", "me"), 600.0, True)
+    queue = Queue("me", "m", 1, RoutingTable(1, DOC), Choice("z", "me"), 600.0, True)
     stores = ["me", *live]
     queue.state.view = View(
         (1, 1),
--- a/tests/closed_shards.py
+++ b/tests/closed_shards.py
@@ -13,8 +13,8 @@
 from sableford.store.choice import Choice
 from sableford.store.messages import RespondToPut
 from sableford.store.queue import Queue
-from sableford.transport.routes import Table
-from tests.edge_gateway import Owner, asked, edge
+from sableford.transport.routes import RoutingTable
+from tests.edge_gateway import ScriptedStore, asked, edge
 from tests.memory_network import simulated
 from tests.store_fences import PUT
 
@@ -23,7 +23,7 @@
 
 def queue_in_partition() -> Queue:
     """s0 owns all shards; two of the four stores of the roster are on the other side of a partition."""
-    queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
+    queue = Queue("s0", "b0", 1, RoutingTable(1, DOC), Choice("z0", "s0"), 600.0, True)
     queue.state.lease = 1e9
     live_stores = {name: StoreInfo(f"b{name[1]}", f"z{name}") for name in ("s0", "s1")}
     roster = [f"s{at}" for at in range(4)]
@@ -111,7 +111,7 @@
     """All shards of s0 are being taken over; s1 serves its own."""
 
     async def scene() -> tuple[int, float]:
-        stores = {"s0": Owner(*[{"no": "opening"}] * 99), "s1": Owner(*[{"kept": True}] * 99)}
+        stores = {"s0": ScriptedStore(*[{"no": "opening"}] * 99), "s1": ScriptedStore(*[{"kept": True}] * 99)}
         gate, loop = edge(stores), asyncio.get_running_loop()
         started_at = loop.time()
         for number in range(20):
@@ -125,7 +125,7 @@
 
 def shows_an_edge_refuses_at_once_what_is_of_a_key_whose_shard_stays_closed() -> None:
     async def scene() -> list[float]:
-        stores = {"s0": Owner(*[{"no": "opening"}] * 999)}
+        stores = {"s0": ScriptedStore(*[{"no": "opening"}] * 999)}
         gate, loop, waits = edge(stores), asyncio.get_running_loop(), []
         for number in range(8):
             started_at = loop.time()
--- a/tests/configuration_versions.py
+++ b/tests/configuration_versions.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from sableford.common.settings import Bounds
+from sableford.common.settings import RuleBounds
 from sableford.control.configuration import Configuration, InvalidRequestError, check
 from sableford.control.protocol import ConfigurationVersion, Update
 from sableford.control.timing import LEASE_MS, QUORUM_FRESH_MS
@@ -15,10 +15,10 @@
 from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.messages import Deliver, Effect
 from sableford.store.queue import Queue
-from sableford.transport.http import Answer
-from sableford.transport.routes import Table
+from sableford.transport.http import HttpResponse
+from sableford.transport.routes import RoutingTable
 from tests.control_member import Scene, view
-from tests.edge_gateway import Owner, asked, edge
+from tests.edge_gateway import ScriptedStore, asked, edge
 from tests.memory_network import simulated
 from tests.store_fences import PUT, takes_over
 
@@ -55,9 +55,16 @@
     table, bounds = gate.table, gate.bounds
     route, backend = table.find("h", "/"), table.backends["b"]
     return [
-        *(route.deadline_ms, route.target_ms, route.start_ms, route.rank, route.tries, route.fifo),
-        *(route.retention_s, backend.idempotent, backend.conns, backend.rate),
-        *(bounds.head, bounds.body, bounds.head_ms, bounds.idle_ms),
+        *(
+            route.deadline_ms,
+            route.target_ms,
+            route.start_target_ms,
+            route.rank,
+            route.max_attempts,
+            route.fifo,
+        ),
+        *(route.retention_s, backend.idempotent, backend.max_connections, backend.rate),
+        *(bounds.max_head_bytes, bounds.max_body_bytes, bounds.head_timeout_ms, bounds.idle_timeout_ms),
     ]
 
 
@@ -90,7 +97,7 @@
                         configuration = check(doc)
                     except InvalidRequestError:
                         continue
-                    gate = edge({"s0": Owner()})
+                    gate = edge({"s0": ScriptedStore()})
                     try:
                         gate.configuration_changed(ConfigurationVersion(2, doc))
                     except Exception as problem:
@@ -131,7 +138,7 @@
 
 def with_workers_of_both_services() -> Queue:
     """A store that owns all shards under version 1, in which all of /b goes to service b."""
-    queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
+    queue = Queue("s0", "b0", 1, RoutingTable(1, DOC), Choice("z0", "s0"), 600.0, True)
     for service in ("a", "b"):
         queue.choice.put(0.0, WorkerEntry(f"of-{service}", service, "10.0.0.9", 80, "z0", 2, True), 0.0)
     queue.state.lease = 1e9
@@ -160,7 +167,7 @@
         for now in range(10, 300, 10):
             effects += queue.tick(float(now), 0.0)
         assert delivered_to(effects) == [], "it was run by version 1"
-        effects = queue.configure(300.0, Table(2, doc))
+        effects = queue.configure(300.0, RoutingTable(2, doc))
         for now in range(310, 500, 10):
             effects += queue.tick(float(now), 0.0)
         assert delivered_to(effects) == [f"of-{new}"], effects
@@ -177,7 +184,7 @@
         effects = [*queue.put(0.0, PUT, b"x", "edge"), *queue.message_written(0.0, PUT.ref)]
         effects += queue.message_copied(0.0, PUT.ref, "s1", True)
         assert delivered_to(effects) == ["of-a"], effects
-        queue.configure(1.0, Table(2, doc))
+        queue.configure(1.0, RoutingTable(2, doc))
         assert queue.may_send(2.0, PUT.ref, "of-a") == is_begun, doc
 
 
@@ -198,14 +205,14 @@
     # CONFIG: a message was ended by the retention of a version older than the one it was accepted under.
     short = {"routes": [route | {"retentionS": 1} for route in DOC["routes"]], "backends": DOC["backends"]}
     queue = with_workers_of_both_services()
-    queue.configure(0.0, Table(1, short))
+    queue.configure(0.0, RoutingTable(1, short))
     queue.put(0.0, replace(PUT, revision=2, delay_ms=1500.0), b"x", "edge")
     queue.message_written(0.0, PUT.ref)
     queue.message_copied(0.0, PUT.ref, "s1", True)
     for now in range(1500, 2000, 10):
         queue.tick(float(now), 0.0)
     assert queue.status(PUT.ref).phase == "pending"
-    queue.configure(2000.0, Table(2, DOC))
+    queue.configure(2000.0, RoutingTable(2, DOC))
     assert delivered_to([effect for now in (2010.0, 2040.0) for effect in queue.tick(now, 0.0)]) == ["of-a"]
 
 
@@ -217,16 +224,16 @@
         first = ConfigurationVersion(1, DOC)
         update = Update(term=3, number=1, snapshot=True, view=view(1, "s"), config=first)
         scene.member.apply_update(scene.link, update)
-        gate = edge({"s0": Owner()})
+        gate = edge({"s0": ScriptedStore()})
         gate.member, gate.runtime.now = scene.member, lambda: scene.clock
-        gate.runtime.settings.rule_bounds = Bounds(apply_ms=APPLY_MS, revoke_ms=APPLY_MS)
+        gate.runtime.settings.rule_bounds = RuleBounds(apply_ms=APPLY_MS, revoke_ms=APPLY_MS)
         acknowledged_at = scene.clock - QUORUM_FRESH_MS  # of version 2, at the earliest, by another leader
         scene.clock += LEASE_MS - 1.0
         await scene.join(term=4)
         assert scene.member.config == first, "the snapshot, with version 2, is on its way"
         scene.clock = acknowledged_at + APPLY_MS
         answer = asked(gate, "/none", (b"attempt-id", b"id"))
-        assert isinstance(answer, Answer) and answer.status == 503, answer
+        assert isinstance(answer, HttpResponse) and answer.status == 503, answer
 
     asyncio.run(play())
 
@@ -258,7 +265,7 @@
 def shows_an_edge_keeps_all_of_its_version_where_the_next_can_not_be_read() -> None:
     # CONFIG: an edge used the routes of one version and the limits of another.
     async def scene(loop: asyncio.AbstractEventLoop) -> None:
-        gate = edge({"s0": Owner()})
+        gate = edge({"s0": ScriptedStore()})
         gate.configuration_changed(ConfigurationVersion(1, document_with("limits", "maxBodyBytes", 10)))
         before = applied_values(gate)
         unreadable = document_with("limits", "maxBodyBytes", 20)
--- a/tests/control_incidents.py
+++ b/tests/control_incidents.py
@@ -18,7 +18,7 @@
 from sableford.simulation.control.judges import Order
 from sableford.simulation.control.operators import canonical, document
 from sableford.simulation.control.walk import ControlSimulation, Shape
-from sableford.transport.http import Answer
+from sableford.transport.http import HttpResponse
 
 CUT_S = 20.0
 HOPS = 3
@@ -55,11 +55,13 @@
         if task.done():
             task.result()
 
-    async def call(self, at: Machine, method: str, target: str, body: bytes = b"", **headers: str) -> Answer:
+    async def call(
+        self, at: Machine, method: str, target: str, body: bytes = b"", **headers: str
+    ) -> HttpResponse:
         """One call at one machine; 0 where it says nothing for a second."""
         given = tuple((name.replace("_", "-").encode(), text.encode()) for name, text in headers.items())
         got = await self.cluster.call(at.control, method, target, body, given, lambda: None)
-        return got if got is not None else Answer(0)
+        return got if got is not None else HttpResponse(0)
 
     async def order(self, at: Machine, base: int, body: bytes) -> int:
         return (await self.call(at, "POST", "/v1/config/replace", body, base_version=str(base))).status
--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -20,7 +20,7 @@
 from sableford.control.voter_selection import Candidate, Tolerance, seats_needed, select_voters
 from sableford.simulation.membership.model import SimulatedStore
 from sableford.simulation.membership.walk import MembershipSimulation, Wrong
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 from tests.control_service import core, joins, run_core
 from tests.record_growth import Group
 
@@ -259,10 +259,12 @@
 
 
 def shows_of_two_retirements_at_once_the_second_counts_the_first_as_gone() -> None:
-    async def scene() -> list[Answer]:
+    async def scene() -> list[HttpResponse]:
         control, clock = core(1)
         await joined(control, clock, ["s00", "s01", "s02", "s03"])
-        requests = [Request("POST", b"/v1/retire/node-s0%d/start" % at, [], b"", True) for at in (1, 2, 1)]
+        requests = [
+            HttpRequest("POST", b"/v1/retire/node-s0%d/start" % at, [], b"", True) for at in (1, 2, 1)
+        ]
         calls = [asyncio.ensure_future(control.handle(request)) for request in requests]
         assert await run_core(control, clock, lambda: all(call.done() for call in calls), 500.0)
         assert list(control.roster.retiring) == ["node-s01"]
--- a/tests/control_service.py
+++ b/tests/control_service.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from types import SimpleNamespace
 
-from sableford.common.settings import Settings, Tolerates
+from sableford.common.settings import FaultTolerance, Settings
 from sableford.control.protocol import JoinRequest, Update, UpdateAcknowledgement
 from sableford.control.record_storage import RecordStorage
 from sableford.control.service import ControlService
 from sableford.control.view import View
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 from sableford.transport.link import IncomingMessage
 from sableford.transport.messages import PeerMessage, PeerResponse
 
@@ -67,7 +67,9 @@
         log=SimpleNamespace(event=lambda name, /, **fields: None),
         member=SimpleNamespace(view=View(), leader="", peers_on_disk=None),
         settings=settings
-        or Settings("s00", "s00", "z", (7300, 7315), seed_nodes=["s00:7300"], tolerates=Tolerates(losses)),
+        or Settings(
+            "s00", "s00", "z", (7300, 7315), seed_nodes=["s00:7300"], tolerates=FaultTolerance(losses)
+        ),
     )
     clock = [0.0]
     control = ControlService(runtime, Prompt())
@@ -93,12 +95,12 @@
 
 async def call(
     control: ControlService, clock: list[float], method: str, path: str, body: object = b"", **headers: str
-) -> Answer:
+) -> HttpResponse:
     """The answer to one call; header names are given with underscores."""
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
     given = [(name.replace("_", "-").encode(), text.encode("latin-1")) for name, text in headers.items()]
-    answer = control.handle(Request(method, path.encode(), given, raw, True))
-    if isinstance(answer, Answer):
+    answer = control.handle(HttpRequest(method, path.encode(), given, raw, True))
+    if isinstance(answer, HttpResponse):
         return answer
     task = asyncio.ensure_future(answer)
     assert await run_core(control, clock, task.done)
--- a/tests/control_serving.py
+++ b/tests/control_serving.py
@@ -6,18 +6,18 @@
 from sableford.control.protocol import JoinResponse
 from sableford.control.timing import LEASE_MS, QUORUM_FRESH_MS
 from sableford.control.view import StoreInfo
-from sableford.transport.http import Request
+from sableford.transport.http import HttpRequest
 from sableford.transport.link import Response
 from sableford.transport.messages import PeerRequest
 from tests.control_member import STATUS, Silence
 from tests.control_service import call, core
-from tests.edge_gateway import Owner, asked, edge
+from tests.edge_gateway import ScriptedStore, asked, edge
 from tests.memory_network import simulated
 
 
 def shows_an_edge_without_a_leader_ends_serving_while_no_newer_version_binds_it() -> None:
     async def scene(apply_ms: float) -> None:
-        gate = edge({"s0": Owner()})
+        gate = edge({"s0": ScriptedStore()})
         gate.runtime.settings.rule_bounds.apply_ms = apply_ms
         gate.runtime.ending = asyncio.Event()
         gate.member.configuration_lease = LEASE_MS  # granted in answer to a renewal sent at 0
@@ -44,7 +44,7 @@
         control.links.responsive_link = lambda name: object()
         answer = await call(control, clock, "GET", "/v1/config/read")
         assert (answer.status, dict(answer.headers)["Location"]) == (307, "http://10.0.0.1:80/v1/config/read")
-        assert control.handle(Request("GET", b"/v1/none", [], b"", True)).status == 404
+        assert control.handle(HttpRequest("GET", b"/v1/none", [], b"", True)).status == 404
 
     asyncio.run(scene())
 
--- a/tests/edge_gateway.py
+++ b/tests/edge_gateway.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from sableford.common.settings import Bounds
+from sableford.common.settings import RuleBounds
 from sableford.control.protocol import ConfigurationVersion
 from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.edge import gateway
@@ -15,7 +15,7 @@
 from sableford.simulation.stores import DOC
 from sableford.transport.errors import CallError
 from sableford.transport.frames import Frame, read_envelope
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 from sableford.transport.link import CallResult, response_decoder
 from sableford.transport.messages import PeerRequest
 from sableford.transport.verdict import Execution
@@ -24,7 +24,7 @@
 BROKEN, UNSENT = CallResult(Execution.UNKNOWN), CallResult(Execution.NOT_RUN)
 
 
-class Owner:
+class ScriptedStore:
     """A store as an edge sees it: a link with scripted responses, in the form that they have on the wire."""
 
     incarnation = "b"  # the one in the view
@@ -50,7 +50,7 @@
     return CallResult(Execution.DONE, response.message, response.body)
 
 
-def edge(stores: dict[str, Owner], silent: tuple[str, ...] = ()) -> Gateway:
+def edge(stores: dict[str, ScriptedStore], silent: tuple[str, ...] = ()) -> Gateway:
     """An edge that has not heard from the `silent` stores recently."""
     view = View(
         (1, 1), [sorted(stores)[at % len(stores)] for at in range(SHARDS)], [""] * SHARDS,
@@ -61,7 +61,7 @@
         log=SimpleNamespace(event=lambda name, /, **fields: None),
         settings=SimpleNamespace(
             zone="z",
-            rule_bounds=Bounds(apply_ms=3000.0),
+            rule_bounds=RuleBounds(apply_ms=3000.0),
             tolerates=SimpleNamespace(machine_loss=1),
         ),
         now=lambda: loop.time() * 1000.0,
@@ -78,11 +78,11 @@
 
 def asked(gate: Gateway, path: str, *fields: tuple[bytes, bytes], method: str = "POST"):
     """The response to a request, or an awaitable of it."""
-    return gate.handle(Request(method, path.encode("latin-1"), [(b"host", b"h"), *fields], b"x", True))
+    return gate.handle(HttpRequest(method, path.encode("latin-1"), [(b"host", b"h"), *fields], b"x", True))
 
 
 def status_and_headers(
-    stores: dict[str, Owner], silent: tuple[str, ...] = (), key: str = ""
+    stores: dict[str, ScriptedStore], silent: tuple[str, ...] = (), key: str = ""
 ) -> tuple[int, dict]:
     """The status and headers of the response to a message."""
 
@@ -98,18 +98,18 @@
 
 def shows_an_edge_holds_to_what_a_put_may_have_come_to() -> None:
     # A store that reaches too few others: the message goes to a shard of another store.
-    alone, other = Owner(*[{"no": "alone"}] * 9), Owner({"kept": True})
+    alone, other = ScriptedStore(*[{"no": "alone"}] * 9), ScriptedStore({"kept": True})
     assert status_and_headers({"s0": alone, "s1": other})[0] == 202
     # The owner lost the shard during the put: retried at the same shard, with the same reference.
-    moved = Owner({"no": "owner", "may": True}, {"no": "owner"}, {"kept": True})
+    moved = ScriptedStore({"no": "owner", "may": True}, {"no": "owner"}, {"kept": True})
     status, headers = status_and_headers({"s0": moved})
     assert (status, headers["Message-Ref"]) == (202, moved.puts[0].ref)
     assert [put.is_retry for put in moved.puts] == [False, True, True]
     assert len({put.ref for put in moved.puts}) == 1
     # The outcome can't be determined: neither accepted nor refused.
-    assert status_and_headers({"s0": Owner({"may": True}, *[{"no": "owner"}] * 40)})[0] == 504
+    assert status_and_headers({"s0": ScriptedStore({"may": True}, *[{"no": "owner"}] * 40)})[0] == 504
     # Unresponsive: nothing is sent there, and the client is told when to retry.
-    quiet = Owner()
+    quiet = ScriptedStore()
     status, headers = status_and_headers({"s0": quiet}, ("s0",), "k")
     assert (status, quiet.puts) == (503, []) and "Retry-After" in headers
 
@@ -123,22 +123,22 @@
         for answers in itertools.product((BROKEN, unclear[1], unclear[3], UNSENT, plain[1]), repeat=count):
             rest = [{"no": "owner"}] * 40
             kept = [one for one in answers if one in unclear]
-            store = Owner(*answers, *rest)
+            store = ScriptedStore(*answers, *rest)
             assert status_and_headers({"s0": store})[0] == (504 if kept else 503), answers
-            store = Owner(*answers, {"kept": True})
+            store = ScriptedStore(*answers, {"kept": True})
             assert status_and_headers({"s0": store})[0] == 202, answers
             marked = [any(one in unclear for one in answers[:at]) for at in range(count + 1)]
             assert [put.is_retry for put in store.puts] == marked, answers
             named = [put.ref for put, again in zip(store.puts, marked, strict=True) if again]
             assert len(set(named)) <= 1, answers  # retries have the same reference, so the same shard
     for answer in unclear:
-        assert status_and_headers({"s0": Owner(answer, *[{"no": "owner"}] * 40)})[0] == 504, answer
+        assert status_and_headers({"s0": ScriptedStore(answer, *[{"no": "owner"}] * 40)})[0] == 504, answer
     for answer in plain:
-        assert status_and_headers({"s0": Owner(*[answer] * 40)})[0] == 503, answer
+        assert status_and_headers({"s0": ScriptedStore(*[answer] * 40)})[0] == 503, answer
     # Without an order key: may be sent to another shard with another reference while nothing is unclear.
-    one, other = Owner(*[UNSENT] * 40), Owner(*[UNSENT] * 40)
+    one, other = ScriptedStore(*[UNSENT] * 40), ScriptedStore(*[UNSENT] * 40)
     assert status_and_headers({"s0": one, "s1": other})[0] == 503 and one.puts and other.puts
-    one, other = Owner(*[BROKEN] * 40), Owner(*[BROKEN] * 40)
+    one, other = ScriptedStore(*[BROKEN] * 40), ScriptedStore(*[BROKEN] * 40)
     assert status_and_headers({"s0": one, "s1": other})[0] == 504 and not (one.puts and other.puts)
 
 
@@ -179,11 +179,11 @@
 REF = "00-9c41"  # of a shard of the first store
 
 
-def state(answers: list, silent: tuple[str, ...] = ()) -> Answer:
+def state(answers: list, silent: tuple[str, ...] = ()) -> HttpResponse:
     """The response to a status query for a message of s0, given the responses of three stores."""
 
-    async def scene() -> Answer:
-        stores = {f"s{at}": Owner(*[answer] * 60) for at, answer in enumerate(answers)}
+    async def scene() -> HttpResponse:
+        stores = {f"s{at}": ScriptedStore(*[answer] * 60) for at, answer in enumerate(answers)}
         return await asked(edge(stores, silent), f"/v1/message/{REF}", method="GET")
 
     return simulated(lambda loop: scene())
@@ -216,8 +216,8 @@
         assert answer.status == expected[0] and expected[1] in (None, answer.body), (answers, answer)
         assert (answer.status == 503) == ("Retry-After" in dict(answer.headers))
 
-    async def bytes_of(answers: list) -> Answer:
-        stores = {f"s{at}": Owner(*[answer] * 60) for at, answer in enumerate(answers)}
+    async def bytes_of(answers: list) -> HttpResponse:
+        stores = {f"s{at}": ScriptedStore(*[answer] * 60) for at, answer in enumerate(answers)}
         return await asked(edge(stores), f"/v1/message-body/{REF}", method="GET")
 
     found, none = {"found": True, "raw": b"xyz"}, {"found": False}
@@ -234,8 +234,8 @@
     """s0 and s1 had the message, s1 its final state. s0 came back with an empty disk; s1 is cut off."""
 
     def answered(path: str, answers: list, complete: bool, incarnation: str) -> int:
-        async def scene() -> Answer:
-            stores = {f"s{at}": Owner(*[answer] * 60) for at, answer in enumerate(answers)}
+        async def scene() -> HttpResponse:
+            stores = {f"s{at}": ScriptedStore(*[answer] * 60) for at, answer in enumerate(answers)}
             gate = edge(stores)
             gate.member.view.live_stores["s0"].complete = complete
             stores["s0"].incarnation = incarnation
@@ -261,10 +261,10 @@
 
 def shows_a_field_with_no_sense_or_two_is_refused_by_its_name() -> None:
     def answer_to(*fields: tuple[bytes, bytes], path: str = "/b/1", method: str = "POST"):
-        async def scene(loop) -> tuple[Answer, list[dict]]:
-            stores = {"s0": Owner({"kept": True})}
+        async def scene(loop) -> tuple[HttpResponse, list[dict]]:
+            stores = {"s0": ScriptedStore({"kept": True})}
             got = asked(edge(stores), path, *fields, method=method)
-            return (got if isinstance(got, Answer) else await got), stores["s0"].puts
+            return (got if isinstance(got, HttpResponse) else await got), stores["s0"].puts
 
         return simulated(scene)
 
--- a/tests/http_calls.py
+++ b/tests/http_calls.py
@@ -7,7 +7,7 @@
 from sableford.store.choice import WorkerEntry
 from sableford.store.delivery import DeliveryClient
 from sableford.transport.errors import NotSentError, UnansweredError
-from sableford.transport.http import Answer, Bounds, Request
+from sableford.transport.http import ConnectionLimits, HttpRequest, HttpResponse
 from sableford.transport.http_client import MAX_HEAD_BYTES, ClientConnection
 from sableford.transport.http_server import HttpServer, ServerConnection
 from sableford.transport.verdict import Execution, Verdict
@@ -27,18 +27,18 @@
     """A server whose responses are set by the test, and connections to it."""
 
     def __init__(self) -> None:
-        self.received: list[Request] = []
+        self.received: list[HttpRequest] = []
         self.responses: list[asyncio.Future] = []
-        bounds = Bounds()
-        bounds.head, bounds.body = HEAD_BOUND, BODY_BOUND
+        bounds = ConnectionLimits()
+        bounds.max_head_bytes, bounds.max_body_bytes = HEAD_BOUND, BODY_BOUND
         self.server = HttpServer(self._handle, bounds)
 
-    def _handle(self, request: Request) -> asyncio.Future:
+    def _handle(self, request: HttpRequest) -> asyncio.Future:
         self.received.append(request)
         self.responses.append(asyncio.get_running_loop().create_future())
         return self._answer(self.responses[-1])
 
-    async def _answer(self, responses: asyncio.Future) -> Answer:
+    async def _answer(self, responses: asyncio.Future) -> HttpResponse:
         return await responses
 
     def connect(self) -> tuple[ServerConnection, MemoryTransport]:
@@ -46,7 +46,7 @@
         return connection, attached(connection)
 
     async def answer(self, at: int, body: bytes, status: int = 200) -> None:
-        self.responses[at].set_result(Answer(status, body))
+        self.responses[at].set_result(HttpResponse(status, body))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
 
@@ -178,7 +178,9 @@
 def shows_a_caller_that_reads_nothing_holds_little_memory_and_is_let_go() -> None:
     async def scene(loop) -> None:
         calls = Calls()
-        calls.server.handle = lambda request: calls.received.append(request) or Answer(200, b"y" * 30_000)
+        calls.server.handle = lambda request: calls.received.append(request) or HttpResponse(
+            200, b"y" * 30_000
+        )
         one, transport = calls.connect()
         transport.unread = True
         for _ in range(20):
@@ -186,9 +188,9 @@
             if transport.paused:
                 break
         assert transport.paused and len(calls.received) == 3, len(calls.received)  # then reading pauses
-        one.look(loop.time() + 14.0)
+        one.check_timeouts(loop.time() + 14.0)
         assert not transport.closing
-        one.look(loop.time() + 16.0)
+        one.check_timeouts(loop.time() + 16.0)
         assert transport.closing and not one.busy()
         # A client that reads again gets all responses.
         calls.received.clear()
@@ -202,7 +204,7 @@
         one, transport = calls.connect()
         transport.close = lambda: None
         one.data_received(request("/1", b"", "Connection: close", "Content-Length: 0"))
-        one.look(loop.time() + 16.0)
+        one.check_timeouts(loop.time() + 16.0)
         assert transport.closing
 
     simulated(scene)
@@ -223,7 +225,7 @@
             assert transport.written.startswith(b"HTTP/1.1 " + status) and not calls.received
         # Many small requests and a partial one in one read do not count as one long head.
         calls = Calls()
-        calls.server.handle = lambda request: Answer(200)
+        calls.server.handle = lambda request: HttpResponse(200)
         one, transport = calls.connect()
         one.data_received(request("/1") * 20 + b"POST /2 HTTP/1.1\r\n")
         one.data_received(b"Host: h\r\n\r\n")
@@ -250,13 +252,13 @@
         async def response_to(*parts: bytes, end: Exception | None = None) -> tuple[int, dict] | Exception:
             connection = ClientConnection()
             transport = attached(connection)
-            future = connection.ask(b"POST")
+            future = connection.send_request(b"POST")
             for part in parts:
                 connection.data_received(part)
             if not future.done() and end is None:
                 connection.eof_received()
             connection.connection_lost(end)
-            assert not connection.usable() and transport.written == b"POST"
+            assert not connection.is_reusable() and transport.written == b"POST"
             return future.exception() or future.result()
 
         whole = [
@@ -287,7 +289,7 @@
         async def head_of(text: bytes) -> dict:
             connection = ClientConnection()
             attached(connection)
-            future = connection.ask(b"POST")
+            future = connection.send_request(b"POST")
             connection.data_received(text)
             return (await future).headers
 
@@ -302,7 +304,7 @@
         # An endless head closes the connection.
         connection = ClientConnection()
         transport = attached(connection)
-        future = connection.ask(b"POST")
+        future = connection.send_request(b"POST")
         connection.data_received(b"HTTP/1.1 200 OK\r\nX: ")
         for _ in range(2 * MAX_HEAD_BYTES // 1000):
             if not transport.closing:
@@ -317,11 +319,11 @@
         def after(*parts: bytes, waiting: int = 0) -> bool:
             connection = ClientConnection()
             transport = attached(connection)
-            connection.ask(b"POST")
+            connection.send_request(b"POST")
             transport.waiting = waiting
             for part in parts:
                 connection.data_received(part)
-            return connection.usable()
+            return connection.is_reusable()
 
         assert after(OWN)
         assert not after(OWN + OWN) and not after(OWN, OWN) and not after(OWN, b"\r\nx")
@@ -332,16 +334,18 @@
         connection = ClientConnection()
         transport = attached(connection)
         connection.data_received(OWN)
-        assert not connection.usable() and transport.closing
-        assert isinstance(connection.ask(b"POST").exception(), NotSentError) and not transport.written
+        assert not connection.is_reusable() and transport.closing
+        assert (
+            isinstance(connection.send_request(b"POST").exception(), NotSentError) and not transport.written
+        )
         # Used for the time that the worker announces, less a margin.
         connection = ClientConnection()
         attached(connection)
-        connection.ask(b"POST")
+        connection.send_request(b"POST")
         connection.data_received(answered("Keep-Alive: timeout=0.1", "Content-Length: 0"))
-        assert connection.usable()
+        assert connection.is_reusable()
         await asyncio.sleep(0.06)
-        assert not connection.usable()
+        assert not connection.is_reusable()
 
     simulated(scene)
 
@@ -470,7 +474,7 @@
         async def _exchange(self, *more):
             verdict = await super()._exchange(*more)
             broke = verdict.execution is Execution.UNKNOWN and not verdict.reached
-            return Verdict(Execution.NOT_RUN, verdict.why) if broke else verdict
+            return Verdict(Execution.NOT_RUN, verdict.reason) if broke else verdict
 
     class ReusesBusyConnection(DeliveryClient):
         """Reuses a connection with an outstanding response."""
--- a/tests/moved_endpoints.py
+++ b/tests/moved_endpoints.py
@@ -5,9 +5,9 @@
 
 from sableford.store.choice import Choice
 from sableford.store.delivery import DeliveryClient
-from sableford.transport.http import Answer, Bounds, Request
+from sableford.transport.http import ConnectionLimits, HttpRequest, HttpResponse
 from sableford.transport.http_server import HttpServer, ServerConnection
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution
 from tests.memory_network import simulated
 
@@ -24,15 +24,15 @@
         ran: list[tuple[str, int]] = []
 
         def served_at(endpoint: tuple[str, int]) -> None:
-            def handle(request: Request) -> Answer:
+            def handle(request: HttpRequest) -> HttpResponse:
                 ran.append(endpoint)
-                return Answer(200, b"", (("Attempt-Id", "m"), ("Server-Seal", "s")))
+                return HttpResponse(200, b"", (("Attempt-Id", "m"), ("Server-Seal", "s")))
 
-            loop.listeners[endpoint] = lambda: ServerConnection(HttpServer(handle, Bounds()))
+            loop.listeners[endpoint] = lambda: ServerConnection(HttpServer(handle, ConnectionLimits()))
 
         async def deliver(endpoint: tuple[str, int]) -> None:
             backend = {"name": "x", "maxConns": 2, "endpoint": f"{endpoint[0]}:{endpoint[1]}"}
-            choice.fix(loop.time() * 1000.0, Table(1, {"backends": [backend]}))
+            choice.fix(loop.time() * 1000.0, RoutingTable(1, {"backends": [backend]}))
             client.sweep(set(choice.workers))
             worker = choice.choose(loop.time() * 1000.0, "x")
             until = loop.time() * 1000.0 + DELIVERY_MS
--- a/tests/order.py
+++ b/tests/order.py
@@ -24,7 +24,7 @@
 from sableford.store.protocol import PutRequest
 from sableford.store.queue import Queue, QueueParts
 from sableford.store.replica_placement import ReplicaPlacement
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
 
 KEYS = ["", "k1", "k2"]
@@ -53,7 +53,7 @@
         self.lives += 1
         incarnation = f"b{self.lives}"
         choice = Choice("z", incarnation)
-        self.queue = self.make("s", incarnation, 0, Table(1, DOC), choice, 600.0, True)
+        self.queue = self.make("s", incarnation, 0, RoutingTable(1, DOC), choice, 600.0, True)
         for at in range(2):
             choice.put(self.now, WorkerEntry(f"w{at}", "a", "10.0.0.1", 80, "z", 2, True), 0.0)
         for (what, ref), value in self.disk.items():
--- a/tests/store_fences.py
+++ b/tests/store_fences.py
@@ -8,7 +8,7 @@
 from sableford.store.messages import Deliver, DropReplica, Effect, Pull, State
 from sableford.store.protocol import MessageState, PullResponse, PutRequest
 from sableford.store.queue import Queue
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
 
 PUT = PutRequest(
@@ -45,7 +45,7 @@
 
 def with_a_message_out() -> Queue:
     """s0 owns all, and has sent one message to a worker."""
-    queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
+    queue = Queue("s0", "b0", 1, RoutingTable(1, DOC), Choice("z0", "s0"), 600.0, True)
     queue.choice.put(0.0, WorkerEntry("w", "a", "10.0.0.9", 80, "z0", 2, True), 0.0)
     queue.state.lease = 1e9
     takes_over(queue, 0.0, 1)
--- a/tests/store_full_disk.py
+++ b/tests/store_full_disk.py
@@ -13,7 +13,7 @@
 from sableford.store.messages import CopyFinalStates, ListFinalStates
 from sableford.store.protocol import FinalState, PullResponse
 from sableford.store.queue import Queue
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 
 
 def shards_of_a_full_store(ignored: bool = False) -> list[int]:
@@ -47,7 +47,7 @@
         disk.open()
 
         async def add(many: range) -> list[BaseException | None]:
-            puts = [disk.write([(b"m%06d" % at, bytes(3500))], more=True) for at in many]
+            puts = [disk.write([(b"m%06d" % at, bytes(3500))], adds_data=True) for at in many]
             return [one if isinstance(one, BaseException) else None for one in await gather(puts)]
 
         refused = [problem for problem in await add(range(6000)) if problem is not None]
@@ -66,7 +66,7 @@
 
 
 def shows_ends_that_a_full_store_refused_are_offered_again_a_second_later() -> None:
-    queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
+    queue = Queue("s0", "b0", 1, RoutingTable(1, DOC), Choice("z0", "s0"), 600.0, True)
     queue.state.lease = 1e9
     live_stores = {"s0": StoreInfo("b0", "z0"), "s1": StoreInfo("b1", "z1")}
     owners, incarnations, epochs = ["s0"] * SHARDS, ["b0"] * SHARDS, [(1, 1)] * SHARDS
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -48,11 +48,11 @@
 from sableford.store.replica_placement import ReplicaPlacement
 from sableford.store.shard_takeover import ShardTakeover
 from sableford.transport.frames import FrameReader, encode_frame
-from sableford.transport.http import Answer, Bounds
+from sableford.transport.http import ConnectionLimits, HttpResponse
 from sableford.transport.http_client import ClientConnection, Response
 from sableford.transport.http_server import HttpServer, ServerConnection
 from sableford.transport.link import Response as PeerReply
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
 from tests.control_member import STATUS
 from tests.order import SendsOutOfTurn, with_parts
@@ -174,7 +174,7 @@
 
 
 def shows_a_store_that_speaks_to_too_few_others_takes_nothing_new() -> None:
-    queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
+    queue = Queue("s0", "b0", 1, RoutingTable(1, DOC), Choice("z0", "s0"), 600.0, True)
     queue.state.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
     queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
     queue.state.unresponsive = {"s1", "s2"}
@@ -187,7 +187,7 @@
 
 def shows_copies_go_to_another_zone_once_and_then_near() -> None:
     def copies(losses: int, zones: int, quiet: tuple[str, ...] = ()) -> list[str]:
-        queue = Queue("s0", "b0", losses, Table(1, DOC), Choice("z0", "s0"), 600.0, True, zones)
+        queue = Queue("s0", "b0", losses, RoutingTable(1, DOC), Choice("z0", "s0"), 600.0, True, zones)
         places = {"s0": "z0", "s1": "z0", "s2": "z0", "s3": "z1", "s4": "z2"}
         queue.state.view = View(
             (1, 1), live_stores={name: StoreInfo("b", zone) for name, zone in places.items()}
@@ -203,11 +203,11 @@
 
 def at_one_address(rate: float) -> Queue:
     """A store of three, with a service at one address that bears a rate, and its shard 0."""
-    queue = Queue("s0", "b0", 0, Table(), Choice("z0", "s0"), 600.0, True)
+    queue = Queue("s0", "b0", 0, RoutingTable(), Choice("z0", "s0"), 600.0, True)
     queue.state.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
     queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
     service = {"name": "a", "endpoint": "10.0.0.9:80", "maxConns": 50, "ratePerS": rate}
-    queue.configure(0.0, Table(2, DOC | {"backends": [service]}))
+    queue.configure(0.0, RoutingTable(2, DOC | {"backends": [service]}))
     return queue
 
 
@@ -346,11 +346,11 @@
 
 
 def visited(
-    parts: list[bytes], handle=lambda request: Answer(200, request.body, kind="text/plain")
+    parts: list[bytes], handle=lambda request: HttpResponse(200, request.body, kind="text/plain")
 ) -> tuple[bytes, bool]:
     async def visit() -> tuple[bytes, bool]:
-        bounds = Bounds()
-        bounds.head, bounds.body = 400, 50
+        bounds = ConnectionLimits()
+        bounds.max_head_bytes, bounds.max_body_bytes = 400, 50
         one, pipe = ServerConnection(HttpServer(handle, bounds)), Pipe()
         one.connection_made(pipe)
         for part in parts:
@@ -378,7 +378,7 @@
 
     def handle(request):
         reached.append(request)
-        return Answer(200)
+        return HttpResponse(200)
 
     both = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
     twice = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nxyz"
@@ -410,10 +410,10 @@
     async def ask(*parts: bytes) -> tuple[Execution, bool]:
         call, pipe = ClientConnection(), Pipe()
         call.connection_made(pipe)
-        future = call.ask(b"POST")
+        future = call.send_request(b"POST")
         for part in parts:
             call.data_received(part)
-        return verdict_of(await future, "7").execution, call.usable()
+        return verdict_of(await future, "7").execution, call.is_reusable()
 
     assert asyncio.run(ask(own)) == (Execution.FAILED, True)
     assert asyncio.run(ask(other + own)) == (Execution.UNKNOWN, False)
--- a/tests/tenant_configuration.py
+++ b/tests/tenant_configuration.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from sableford.common.settings import Bounds
+from sableford.common.settings import RuleBounds
 from sableford.control.configuration import InvalidRequestError, amended, check
 from sableford.control.member_client import configuration_until
 from sableford.control.orders import Confirmed, Proposal, Refused, State, decide
@@ -19,7 +19,7 @@
 from sableford.control.view import message_ref
 from sableford.edge.gateway import Gateway
 from sableford.transport.http_server import ServerConnection
-from tests.edge_gateway import NOTHING, Owner, edge
+from tests.edge_gateway import NOTHING, ScriptedStore, edge
 from tests.memory_network import MemoryTransport, attached, simulated
 
 KEY, LATER_KEY, OTHER_KEY = "key-of-a", "later-key-of-a", "key-of-b"
@@ -50,9 +50,9 @@
     """A client's connection to an edge that stays open, and the store behind the edge."""
 
     def __init__(self, first: Document) -> None:
-        self.store = Owner(*[{"kept": True}] * 9)
+        self.store = ScriptedStore(*[{"kept": True}] * 9)
         self.gate: Gateway = edge({"s0": self.store})
-        self.gate.runtime.settings.rule_bounds = Bounds(apply_ms=APPLY_MS, revoke_ms=REVOKE_MS)
+        self.gate.runtime.settings.rule_bounds = RuleBounds(apply_ms=APPLY_MS, revoke_ms=REVOKE_MS)
         self.configure(first)
         self._transport: MemoryTransport = attached(ServerConnection(self.gate._server))
         self._sent = 0
--- a/tests/tenant_delivery.py
+++ b/tests/tenant_delivery.py
@@ -25,13 +25,13 @@
 from sableford.store.protocol import PutRequest
 from sableford.store.queue import Queue
 from sableford.transport.frames import FrameReader
-from sableford.transport.http import Answer, Bounds, Request
+from sableford.transport.http import ConnectionLimits, HttpRequest, HttpResponse
 from sableford.transport.http_server import HttpServer, ServerConnection
 from sableford.transport.link import CallResult
 from sableford.transport.messages import PeerMessage, PeerRequest
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
-from tests.edge_gateway import Owner, edge
+from tests.edge_gateway import ScriptedStore, edge
 from tests.memory_network import attached, simulated
 
 FIFO, PLAIN, PUBLIC = "/a/1", "/b/1", "/p/1"  # paths of the routes below
@@ -73,7 +73,7 @@
         return [status for status, _, _ in self.answers]
 
 
-class TakingStore(Owner):
+class TakingStore(ScriptedStore):
     """Takes all that is put, and knows of each message that it is pending."""
 
     def __init__(self, scene: Scene) -> None:
@@ -113,7 +113,7 @@
         )
         revisions = itertools.count(2)
         gate.configuration_changed(ConfigurationVersion(next(revisions), document))
-        connection = ServerConnection(HttpServer(gate.handle, Bounds()))
+        connection = ServerConnection(HttpServer(gate.handle, ConnectionLimits()))
         transport = attached(connection)
         for request in requests:
             if isinstance(request, dict):
@@ -161,7 +161,7 @@
 
     def start(self, name: str) -> Queue:
         """A store with nothing on its disk that counts as complete."""
-        queue = Queue(name, f"b{name}", 1, Table(2, WITH_TENANTS), Choice("z0", name), 600.0, True)
+        queue = Queue(name, f"b{name}", 1, RoutingTable(2, WITH_TENANTS), Choice("z0", name), 600.0, True)
         queue.choice.put(0.0, WORKER, 0.0)
         queue.state.lease = 1e9
         self.queues[name] = queue
@@ -211,21 +211,21 @@
                 return queue.message_copied(now, effect.ref, effect.to, True)
         return effects
 
-    def requests(self, name: str, effects: Iterable[Effect]) -> list[Request]:
+    def requests(self, name: str, effects: Iterable[Effect]) -> list[HttpRequest]:
         """What workers get."""
         return [self.delivered(name, one.ref) for one in effects if isinstance(one, Deliver)]
 
-    def delivered(self, name: str, ref: str) -> Request:
+    def delivered(self, name: str, ref: str) -> HttpRequest:
         held = self.queues[name].state.messages[ref]
         return self.read(request_of(held, self.bodies[ref], WORKER, 900.0))
 
-    def read(self, text: bytes) -> Request:
+    def read(self, text: bytes) -> HttpRequest:
         """A worker's reading of it: one whole request and nothing beside it."""
         self.left.append(text)
 
-        async def scene(loop: asyncio.AbstractEventLoop) -> list[Request]:
-            came: list[Request] = []
-            server = HttpServer(lambda request: came.append(request) or Answer(200), Bounds())
+        async def scene(loop: asyncio.AbstractEventLoop) -> list[HttpRequest]:
+            came: list[HttpRequest] = []
+            server = HttpServer(lambda request: came.append(request) or HttpResponse(200), ConnectionLimits())
             connection = ServerConnection(server)
             transport = attached(connection)
             connection.data_received(text)
@@ -235,7 +235,7 @@
         (request,) = simulated(scene)
         return request
 
-    def attempts(self, name: str, now: float, effects: list[Effect], many: int = TRIES) -> list[Request]:
+    def attempts(self, name: str, now: float, effects: list[Effect], many: int = TRIES) -> list[HttpRequest]:
         """So many attempts of one message, each of which fails."""
         queue, came = self.queues[name], []
         while len(came) < many:
@@ -263,7 +263,7 @@
     return stores
 
 
-def tenants_in(requests: Iterable[Request]) -> list[list[str]]:
+def tenants_in(requests: Iterable[HttpRequest]) -> list[list[str]]:
     """The values of each request's `Tenant`."""
     return [
         [value.decode("latin-1") for name, value in request.headers if name == b"tenant"]
@@ -309,7 +309,7 @@
 def shows_a_message_keeps_its_tenant_when_the_tenant_is_gone() -> None:
     stores = owned_by_s0()
     effects = stores.accept(0.0, one(message(PLAIN, "k1-secret")))
-    stores.queues["s0"].configure(0.0, Table(3, WITH_TENANTS | {"tenants": TENANTS[1:]}))
+    stores.queues["s0"].configure(0.0, RoutingTable(3, WITH_TENANTS | {"tenants": TENANTS[1:]}))
     assert tenants_in(stores.attempts("s0", 0.0, effects)) == [["t1"]] * TRIES
 
 
@@ -504,11 +504,11 @@
 def shows_a_key_or_a_changed_request_that_goes_on_is_found() -> None:
     as_it_is = Gateway._put_request
 
-    def leaks(gate: Gateway, request: Request, *given: object) -> PutRequest:
+    def leaks(gate: Gateway, request: HttpRequest, *given: object) -> PutRequest:
         put = as_it_is(gate, request, *given)
         return replace(put, content_type=request.get(b"authorization") or "")
 
-    def unquotes(gate: Gateway, request: Request, *given: object) -> PutRequest:
+    def unquotes(gate: Gateway, request: HttpRequest, *given: object) -> PutRequest:
         put = as_it_is(gate, request, *given)
         return replace(put, target=put.target.replace("%26", "&"))
 
@@ -577,7 +577,7 @@
 
     def at(address: str) -> tuple[Choice, WorkerEntry]:
         backend = {"name": "a", "endpoint": address}
-        choice.fix(0.0, Table(1, WITHOUT_TENANTS | {"backends": [backend]}))
+        choice.fix(0.0, RoutingTable(1, WITHOUT_TENANTS | {"backends": [backend]}))
         return choice, choice.workers["@a"].entry
 
     choice = Choice("z0", "s0")
--- a/tests/tenant_routes.py
+++ b/tests/tenant_routes.py
@@ -8,9 +8,9 @@
 from sableford.control.protocol import ConfigurationVersion
 from sableford.edge.gateway import Gateway
 from sableford.simulation.stores import DOC
-from sableford.transport.http import Answer
-from sableford.transport.routes import Table
-from tests.edge_gateway import Owner, asked, edge
+from sableford.transport.http import HttpResponse
+from sableford.transport.routes import RoutingTable
+from tests.edge_gateway import ScriptedStore, asked, edge
 from tests.memory_network import simulated
 
 KEY, OTHER_KEY, UNKNOWN_KEY = b"k-7f3aQ91c2", b"z-55d0W2e8b", b"k-0000nobody"
@@ -64,13 +64,13 @@
     ) -> None:
         self.lines: list[str] = []
 
-        async def scene() -> tuple[Answer, Owner]:
-            store = Owner(*[{"kept": True}] * 4)
+        async def scene() -> tuple[HttpResponse, ScriptedStore]:
+            store = ScriptedStore(*[{"kept": True}] * 4)
             gate = edge({"s0": store})
             self._configure(gate, document)
             gate.member.configuration_lease = lease
             result = asked(gate, path, *fields)
-            return (result if isinstance(result, Answer) else await result), store
+            return (result if isinstance(result, HttpResponse) else await result), store
 
         self.answer, store = simulated(lambda loop: scene())
         self.status, self.puts = self.answer.status, store.puts
@@ -207,13 +207,13 @@
 
 # Guards against ROUTE: the routing table of a version knows other keys than the version.
 def shows_a_table_knows_just_the_keys_of_its_version() -> None:
-    table = Table(2, WITH_TENANTS)
+    table = RoutingTable(2, WITH_TENANTS)
     known = {KEY: "nowu640", b"k-second": "nowu640", OTHER_KEY: "goka901"}
     for key, tenant in known.items():
         assert table.tenant_of(key) == tenant, key
     for key in (b"", b" ", UNKNOWN_KEY, KEY[:-1], KEY + b" ", KEY.upper(), sha256(KEY).digest(), b"\xff"):
         assert table.tenant_of(key) is None, key
     for document in ({}, WITHOUT_TENANTS, WITH_TENANTS | {"tenants": TENANTS[1:]}):
-        assert Table(3, document).tenant_of(KEY) is None, document
+        assert RoutingTable(3, document).tenant_of(KEY) is None, document
     routes = {path: table.find("h", path) for path in (*CLOSED_PATHS, PUBLIC_PATH)}
     assert [route is not None and route.public for route in routes.values()] == [False, False, True]
