--- a/sableford/control/coordinator.py
+++ b/sableford/control/coordinator.py
@@ -20,13 +20,13 @@
 
 from sableford.control.departures import Departures
 from sableford.control.effects import AddStore, Effect, LogEvent, RemoveStore, SendUpdate
-from sableford.control.lead_start import LeadStart
+from sableford.control.leader_startup import LeaderStartup
 from sableford.control.members import Member
 from sableford.control.protocol import ConfigurationVersion, JoinRequest, RenewRequest, Update
 from sableford.control.shard_assignment import ShardAssigner
 from sableford.control.timing import ABSENT_MS, LEASE_MS
 from sableford.control.update_waits import UpdateWaits
-from sableford.control.view import NO_VIEW, Number, StoreInfo, View, shares
+from sableford.control.view import NO_VIEW, StoreInfo, View, ViewNumber, balanced_owners
 from sableford.control.view_flow import ViewFlow
 from sableford.control.worker_registry import WorkerChange, WorkerListed, WorkerRegistry
 from sableford.control.workers import Worker
@@ -57,7 +57,7 @@
         self.config: ConfigurationVersion | None = None
         self.update_number = 0  # of the last update
         self._shards = ShardAssigner()
-        self._start = LeadStart(0.0)
+        self._start = LeaderStartup(0.0)
         self._view_flow = ViewFlow()
         self._status_changed = False
         self._waits = UpdateWaits()
@@ -76,7 +76,7 @@
         """`earlier_leader_until`: when an earlier leader could last receive the answer of a majority, on
         which it grants leases."""
         self.leads, self.term = True, term
-        self._start = LeadStart(now, earlier_leader_until)
+        self._start = LeaderStartup(now, earlier_leader_until)
         self._view_flow = ViewFlow()
         self.members, self.update_number, self._changing = {}, 0, set()
         self._waits = UpdateWaits()
@@ -97,7 +97,7 @@
         """Follows what another leader has sent, in case this process leads next."""
         if not self.leads:
             self.view = view
-            self._departures.see(now, view, self.roster)
+            self._departures.observe_view(now, view, self.roster)
             self.registry.table.replace(now, workers)
 
     def roster_changed(
@@ -226,20 +226,20 @@
 
     def _remove_from_roster(self, now: float) -> list[Effect]:
         """Removes a store that is absent for long or being emptied, once no replica on it is needed."""
-        self._departures.see(now, self.view, self.roster)
+        self._departures.observe_view(now, self.view, self.roster)
         if "" in self.view.owners:
             return []
-        self._departures.told(*self._safe_views_of_owners())
+        self._departures.observe_safe_views(*self._safe_views_of_owners())
         if not self._start.old_leases_ended:
             return []
         emptied = {name: self.members[name].safe if name in self.members else None for name in self.retiring}
-        for name in self._departures.over(now, emptied):
+        for name in self._departures.removable(now, emptied):
             if name not in self._changing:
                 self._changing.add(name)
                 return [RemoveStore(name)]
         return []
 
-    def _safe_views_of_owners(self) -> tuple[Number, Number]:
+    def _safe_views_of_owners(self) -> tuple[ViewNumber, ViewNumber]:
         """The newest views under which the messages of all owners were fully replicated, counting all stores
         and not counting those that are leaving. A report from before the owner got the last of its shards
         says nothing about that shard's messages, and is ignored."""
@@ -295,7 +295,7 @@
             effects = self._broadcast(STORES, removed_worker=change.id, worker_left=change.left)
         return self.update_number, effects
 
-    def tell_duties(self, notices: Mapping[str, list[DutyNotice]]) -> list[Effect]:
+    def send_duty_notices(self, notices: Mapping[str, list[DutyNotice]]) -> list[Effect]:
         """Sends each of these stores that is a member an update with its duty notices."""
         self.update_number += 1
         effects: list[Effect] = []
@@ -307,7 +307,7 @@
             member.sent = self.update_number
         return effects
 
-    def knows_members(self, now: float) -> bool:
+    def knows_all_members(self, now: float) -> bool:
         """Whether a process that is no member here is no member of any leader: a majority has answered
         recently, and no store can act under a lease of an earlier leader."""
         return self.leads and self.majority_is_recent(now) and self._start.old_leases_ended
@@ -338,8 +338,10 @@
             self.view, self.term, number, self._target_owners(), stores, next_update
         )
         live_stores = self._live_stores()
-        view, spared = self.view, self._departures.spared
-        is_same = live_stores == view.live_stores and self.roster == view.roster and spared == view.spared
+        view, dispensable = self.view, self._departures.dispensable
+        is_same = (
+            live_stores == view.live_stores and self.roster == view.roster and dispensable == view.dispensable
+        )
         if is_same and not assignment.changed:
             return []
         self.view = View(
@@ -350,9 +352,9 @@
             live_stores,
             list(self.roster),
             self._zones_of_roster(live_stores),
-            spared,
+            dispensable,
         )
-        self._departures.see(now, self.view, self.roster, made=True)
+        self._departures.observe_view(now, self.view, self.roster, made=True)
         effects = self._broadcast(view=self.view)
         self._view_flow.sent(now, self.update_number, len(self.members))
         owners = self.view.owners
@@ -371,7 +373,7 @@
         self._adopt_first_view(now)
         return True
 
-    def _next_view_number(self) -> Number:
+    def _next_view_number(self) -> ViewNumber:
         term, count = self.view.number
         return (self.term, count + 1 if term == self.term else 1)
 
@@ -383,7 +385,7 @@
             if not member.leaving and name not in self.retiring and self._is_complete(name)
         )
         with_room = [name for name in eligible if not stores[name].full]
-        return shares(self.view.owners, with_room or eligible)
+        return balanced_owners(self.view.owners, with_room or eligible)
 
     @staticmethod
     def _is_registered_store(member: Member) -> bool:
@@ -415,10 +417,10 @@
         first = self._start.first_view(self.view, self.members)
         self._shards.begin(first.view, self.update_number + 1)
         self.view = first.view
-        if not first.is_vouched_for:
-            self._departures.distrust()
-            self.view = msgspec.structs.replace(first.view, spared=[])
-        self._departures.see(now, self.view, self.roster)
+        if not first.is_recent:
+            self._departures.discard_evidence()
+            self.view = msgspec.structs.replace(first.view, dispensable=[])
+        self._departures.observe_view(now, self.view, self.roster)
 
     def _is_complete(self, name: str) -> bool:
         """Whether a store's replicas count. A store that lost its disk is complete again once every owner has
@@ -436,7 +438,7 @@
         )
         return member.complete
 
-    def _has_audited(self, owner: str, name: str, incarnation: str, since: Number) -> bool:
+    def _has_audited(self, owner: str, name: str, incarnation: str, since: ViewNumber) -> bool:
         """Whether an owner has audited that store for all its shards. It got the last of them in view
         `since`: an older report says nothing about that shard's messages."""
         member = self.members.get(owner)
--- a/sableford/control/departures.py
+++ b/sableford/control/departures.py
@@ -17,7 +17,7 @@
 
 from collections.abc import Iterable
 
-from sableford.control.view import NO_VIEW, Number, View
+from sableford.control.view import NO_VIEW, View, ViewNumber
 
 
 class Departures:
@@ -25,20 +25,22 @@
 
     def __init__(self, absent_ms: float) -> None:
         self.absent_ms = absent_ms
-        self._number: Number = (0, 0)
+        self._number: ViewNumber = (0, 0)
         self._leaving_since: dict[str, float] = {}  # stores that announced leaving and have not come back
         self._absent_since: dict[str, float] = {}  # absent stores; includes the time they were leaving
-        self._leaving_view: dict[str, Number] = {}  # the first view in which the store is leaving
-        self._excluded_view: dict[str, Number] = {}  # the first view in which it is absent or to be emptied
-        self._spared: set[str] = set()
+        self._leaving_view: dict[str, ViewNumber] = {}  # the first view in which the store is leaving
+        self._excluded_view: dict[
+            str, ViewNumber
+        ] = {}  # the first view in which it is absent or to be emptied
+        self._dispensable: set[str] = set()
 
-    def see(self, now: float, view: View, roster: Iterable[str], made: bool = False) -> None:
+    def observe_view(self, now: float, view: View, roster: Iterable[str], made: bool = False) -> None:
         """Takes the view in force. `made`: this process built it from the view that it observed last."""
         term, count = self._number
         if not made and view.number not in ((term, count), (term, count + 1)):
-            self.distrust()
+            self.discard_evidence()
         if not made:
-            self._spared |= {*view.spared}
+            self._dispensable |= {*view.dispensable}
         self._number = view.number
         for name, info in view.live_stores.items():
             self._observe_live_store(now, name, info.leaving, info.retiring)
@@ -64,37 +66,37 @@
         else:
             self._excluded_view.pop(name, None)
         if name not in self._leaving_view and name not in self._excluded_view:
-            self._spared.discard(name)
+            self._dispensable.discard(name)
 
     def _forget_others(self, known: set[str]) -> None:
         for table in (self._leaving_since, self._absent_since, self._leaving_view, self._excluded_view):
             for name in table.keys() - known:
                 del table[name]
-        self._spared &= known
+        self._dispensable &= known
 
-    def distrust(self) -> None:
+    def discard_evidence(self) -> None:
         """Drops evidence that may be out of date: an absent store may have come back and left again since."""
-        self._leaving_view, self._excluded_view, self._spared = {}, {}, set()
+        self._leaving_view, self._excluded_view, self._dispensable = {}, {}, set()
 
     @property
-    def spared(self) -> list[str]:
+    def dispensable(self) -> list[str]:
         """Stores on whose disks no replica is needed."""
-        return sorted(self._spared)
+        return sorted(self._dispensable)
 
-    def told(self, safe: Number, safe_without_leaving: Number) -> None:
+    def observe_safe_views(self, safe: ViewNumber, safe_without_leaving: ViewNumber) -> None:
         """Takes what all owners have reported: the newest view under which the messages of all shards were
         fully replicated, and the same without counting replicas on stores that are leaving."""
-        self._spared |= {name for name, number in self._excluded_view.items() if safe >= number}
-        self._spared |= {
+        self._dispensable |= {name for name, number in self._excluded_view.items() if safe >= number}
+        self._dispensable |= {
             name for name, number in self._leaving_view.items() if safe_without_leaving >= number
         }
 
-    def over(self, now: float, emptied: dict[str, Number | None]) -> list[str]:
+    def removable(self, now: float, emptied: dict[str, ViewNumber | None]) -> list[str]:
         """Stores to remove from the roster. `emptied`: stores that are being emptied, with the newest view
         under which each had handed over what it held; None for a store that is absent."""
         found = []
         for name in sorted(self._excluded_view):
-            if name not in self._spared:
+            if name not in self._dispensable:
                 continue
             handed_over = emptied.get(name)
             if handed_over is not None:
--- a/sableford/control/duty_manager.py
+++ b/sableford/control/duty_manager.py
@@ -76,7 +76,7 @@
         self._accepted_until = 0
         self._leads_since, self._member_until = self._unix_ms(), {}
 
-    def heard(self, status: MemberStatus) -> None:
+    def status_received(self, status: MemberStatus) -> None:
         """Takes the status that a member reports with a join or a renewal."""
         if status.usage or status.usage_settled:
             self._ledger.heard(status.incarnation, UsageStatus(status.usage, status.usage_settled))
@@ -93,7 +93,7 @@
         if self._leads():
             self._member_until.update(dict.fromkeys(self._coordinator.members, self._unix_ms()))
         is_under_way = self._change is not None and not self._change.done()
-        if is_under_way or not self._leads() or not self._coordinator.knows_members(now):
+        if is_under_way or not self._leads() or not self._coordinator.knows_all_members(now):
             return
         next_state = self._next_state(now)
         if next_state != self.state:
@@ -180,7 +180,7 @@
         else:
             new = {window: counts for window, counts in state.sealed.items() if window not in before.sealed}
             notices = {state.holder: [self._notice(new)]}
-        self._carry_out(self._coordinator.tell_duties(notices))
+        self._carry_out(self._coordinator.send_duty_notices(notices))
 
     def _log_change(self, before: DutyState) -> None:
         state = self.state
--- a/sableford/control/lead_start.py
+++ b/sableford/control/leader_startup.py
@@ -24,14 +24,14 @@
 
 
 class FirstView(NamedTuple):
-    """The view that a new leader begins with. `is_vouched_for`: a member with an unbroken lease had applied
+    """The view that a new leader begins with. `is_recent`: a member with an unbroken lease had applied
     it, so that what it says about absent stores is no older than one lease."""
 
     view: View
-    is_vouched_for: bool
+    is_recent: bool
 
 
-class LeadStart:
+class LeaderStartup:
     """From the election until the new leader's first view. Times are ms of the leader's clock."""
 
     def __init__(self, now: float, last_majority_at: float | None = None) -> None:
@@ -43,7 +43,7 @@
         self._old_leases_until = max(now + JOIN_WAIT_MS, self._earlier_leader_until + LEASE_MS)
         self._ended: set[str] = set()  # stores proven to have ended since this process became leader
         self._newest_view: View | None = None  # the newest that a member has applied
-        self._voucher = ""  # a member with an unbroken lease that had applied it
+        self._recent_witness = ""  # a member with an unbroken lease that had applied it
 
     def lease_is_unbroken(self, now: float, lease_left_ms: float) -> bool:
         """Whether a lease with that time left when the member asked to join outlasts every earlier leader:
@@ -55,9 +55,9 @@
         self._ended.discard(name)
         newest = self._newest_view
         if newest is None or view.number > newest.number:
-            self._newest_view, self._voucher = view, ""
+            self._newest_view, self._recent_witness = view, ""
         if member.lease_is_unbroken and self._newest_view is not None:
-            self._voucher = name if view.number == self._newest_view.number else self._voucher
+            self._recent_witness = name if view.number == self._newest_view.number else self._recent_witness
 
     def process_ended(self, name: str) -> None:
         """The process of that name is proven to have ended."""
@@ -73,10 +73,10 @@
     def first_view(self, own_view: View, members: Mapping[str, Member]) -> FirstView:
         """The newest view that is known, without the shards whose owner's lease broke. `own_view`: the newest
         that this process has applied itself."""
-        newest, is_vouched_for = self._newest_view, bool(self._voucher)
+        newest, is_recent = self._newest_view, bool(self._recent_witness)
         if newest is None or newest.number < own_view.number:
-            newest, is_vouched_for = own_view, False
-        return FirstView(_without_lapsed_owners(newest, members), is_vouched_for)
+            newest, is_recent = own_view, False
+        return FirstView(_without_lapsed_owners(newest, members), is_recent)
 
 
 def _without_lapsed_owners(view: View, members: Mapping[str, Member]) -> View:
--- a/sableford/control/members.py
+++ b/sableford/control/members.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from sableford.control.protocol import MemberStatus
-from sableford.control.view import Number
+from sableford.control.view import ViewNumber
 
 
 class Member(msgspec.Struct):
@@ -23,8 +23,8 @@
     registered: bool = False  # it is in the roster
     empty: bool = False
     audits: dict[str, str] = {}  # stores that it has audited for its shards, with their incarnation
-    safe: Number = (0, 0)  # the newest view under which all messages of its shards were fully replicated
-    safe_without_leaving: Number = (0, 0)  # the same, not counting replicas on stores that are leaving
+    safe: ViewNumber = (0, 0)  # the newest view under which all messages of its shards were fully replicated
+    safe_without_leaving: ViewNumber = (0, 0)  # the same, not counting replicas on stores that are leaving
     full: bool = False  # its disk accepts no more writes
 
     def update_status(self, status: MemberStatus) -> bool:
--- a/sableford/control/presence.py
+++ b/sableford/control/presence.py
@@ -13,7 +13,7 @@
 ABSENT_FRACTION = 0.4  # of sync_s: longer than a planned restart; half of sync_s is left for the moves
 JOIN_MS = 500.0  # for members to find a new leader: their renewals and connections take half of that
 # How long a leader that is shutting down goes on leading: most exit sooner, and then nobody waits.
-RESIGN_AFTER = 1000.0
+RESIGN_AFTER_MS = 1000.0
 # To agree on replacing a voter, to copy what was on the lost disk, and to remove it from the roster.
 MOVE_MS = 800.0
 
@@ -22,20 +22,20 @@
     """The state of a store, which decides whether it keeps its vote."""
 
     SERVING = "a member under a lease"
-    UNHEARD = "has not joined this leader yet"
+    NOT_JOINED = "has not joined this leader yet"
     ABSENT = "had joined, absent for less than the limit"
     LEAVING = "shutting down: a restart or for good, which can't be known"
     RETIRING = "being emptied"
     GONE = "absent for longer than the limit, or after announcing that it leaves"
 
 
-KEEPS_SEAT = frozenset({Presence.SERVING, Presence.UNHEARD, Presence.ABSENT})
+KEEPS_VOTE = frozenset({Presence.SERVING, Presence.NOT_JOINED, Presence.ABSENT})
 
 
-def patience_ms(sync_s: float) -> float:
+def absence_limit_ms(sync_s: float) -> float:
     """How long a store may be absent after its lease has expired before it is replaced.
 
-    >>> patience_ms(4.4), patience_ms(2.0), patience_ms(1.0)
+    >>> absence_limit_ms(4.4), absence_limit_ms(2.0), absence_limit_ms(1.0)
     (1760.0, 200.0, 0.0)
     """
     sync_ms = sync_s * 1000.0
@@ -46,24 +46,24 @@
     """Tracks since when each voter has been absent, as one leader sees it. Times are ms of its own clock.
 
     state          input                             next state
-    -              this process becomes leader       UNHEARD
+    -              this process becomes leader       NOT_JOINED
     any            a member                          SERVING
     any            a leaving / retiring member       LEAVING / RETIRING
     SERVING        not a member                      ABSENT
     LEAVING        not a member                      GONE
-    UNHEARD        had announced that it leaves      GONE
-    UNHEARD        absent for `patience`             GONE, once members had time to join
-    ABSENT         absent for `patience`             GONE
+    NOT_JOINED        had announced that it leaves      GONE
+    NOT_JOINED        absent for `absence_limit_ms`             GONE, once members had time to join
+    ABSENT         absent for `absence_limit_ms`             GONE
     """
 
-    def __init__(self, patience: float) -> None:
-        self.patience = patience
+    def __init__(self, absence_limit_ms: float) -> None:
+        self.absence_limit_ms = absence_limit_ms
         self._absent_since: dict[str, float] = {}  # by other leaders' views or by this leader's leases
         self._leading_since = 0.0
         self._joined: set[str] = set()  # members since this process became leader
         self._leaving: set[str] = set()  # had announced that they leave when last seen, in any leader's view
 
-    def begin(self, now: float) -> None:
+    def become_leader(self, now: float) -> None:
         """This process becomes leader."""
         self._leading_since, self._joined = now, set()
 
@@ -81,7 +81,7 @@
             name: self._absent_since.get(name, now) for name in known if name not in live_stores
         }
 
-    def of(
+    def presence_of(
         self, now: float, name: str, member: bool, leaving: bool = False, retiring: bool = False
     ) -> Presence:
         """The state of one store. `member` and `leaving` come from its lease, `retiring` from the roster."""
@@ -96,9 +96,9 @@
                 return Presence.RETIRING
             return Presence.LEAVING if leaving else Presence.SERVING
         since = self._absent_since.setdefault(name, now)
-        is_overdue = now - since >= self.patience and (
+        is_overdue = now - since >= self.absence_limit_ms and (
             name in self._joined or now - self._leading_since >= JOIN_MS
         )
         if retiring or is_overdue or name in self._leaving:
             return Presence.GONE
-        return Presence.ABSENT if name in self._joined else Presence.UNHEARD
+        return Presence.ABSENT if name in self._joined else Presence.NOT_JOINED
--- a/sableford/control/protocol.py
+++ b/sableford/control/protocol.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.control.workers import Worker
 from sableford.duties.messages import DutyNotice, DutyReport
 from sableford.transport.messages import PeerMessage, PeerRequest, PeerResponse
@@ -34,8 +34,8 @@
     empty: bool = False  # its disk held nothing when it started
     full: bool = False  # its disk accepts no more writes
     audits: dict[str, str] = {}  # stores that it has audited for its shards, with their incarnation
-    safe: Number = (0, 0)  # the newest view under which all messages of its shards were fully replicated
-    safe_without_leaving: Number = msgspec.field(name="spares", default=(0, 0))  # the same, not counting
+    safe: ViewNumber = (0, 0)  # the newest view under which all messages of its shards were fully replicated
+    safe_without_leaving: ViewNumber = msgspec.field(name="spares", default=(0, 0))  # the same, not counting
     # replicas on stores that are leaving; not sent by version 0.4
     usage: dict[int, dict[str, int]] = {}  # deliveries that began here, by window and tenant: `UsageStatus`
     usage_settled: int = 0  # windows up to this one will hardly change
--- a/sableford/control/record_driver.py
+++ b/sableford/control/record_driver.py
@@ -65,13 +65,13 @@
     def start(self, storage: RecordStorage, seeds: Iterable[str]) -> RaftNode:
         """Every store holds a replica of the record. The voters are agreed on in it; at first the seeds."""
         self._writer = RecordWriter(storage, self._disk.write, self._stored)
-        is_newcomer = not storage.names
-        names = storage.names or sorted({*seeds} - {self._name})
+        is_newcomer = not storage.initial_voters
+        names = storage.initial_voters or sorted({*seeds} - {self._name})
         self.record = RaftNode(
             self._name,
             self._incarnation,
             names,
-            storage.held,
+            storage.stored_state,
             self._now(),
             crc32(self._name.encode()),
             most=MAX_VALUE_BYTES,
@@ -156,7 +156,7 @@
                     self._send(to, message)
                 case raft_effects.Persist():
                     assert self._writer is not None, "not started"
-                    self._writer.keep(effect)
+                    self._writer.persist(effect)
                 case raft_effects.ProposalResult(number, accepted, index, why):
                     future = self._proposals.pop(number, None)
                     if future is not None and not future.done():
--- a/sableford/control/record_storage.py
+++ b/sableford/control/record_storage.py
@@ -1,8 +1,8 @@
 """The replicated record on disk: its entries, snapshot and votes as keys of the process's one LMDB file.
 
 Each write is one atomic commit, but one that fails may be followed by others that succeed. So the file's
-content is known only for writes that were reported to have succeeded (`kept`). Anything else that may be in
-the file is removed by the next full rewrite, and is never read back as part of the log.
+content is known only for writes that were reported to have succeeded (`write_succeeded`). Anything else that
+may be in the file is removed by the next full rewrite, and is never read back as part of the log.
 """
 
 import os
@@ -41,10 +41,10 @@
         self._meta = _Meta(os.urandom(8).hex())
         image: Snapshot | None = None
         entries: dict[int, Entry] = {}
-        self.fresh = True
+        self.is_new = True
         for key, value in found:
             if key == META:
-                self._meta, self.fresh = msgspec.msgpack.decode(value, type=_Meta), False
+                self._meta, self.is_new = msgspec.msgpack.decode(value, type=_Meta), False
             elif key == IMAGE:
                 image = msgspec.msgpack.decode(value, type=Snapshot)
             elif key.startswith(ENTRY):
@@ -53,8 +53,10 @@
         # By index of each entry that the file may hold: the number of the write that put it there.
         self._in_file = dict.fromkeys(entries, 0)
         self._removals: deque[tuple[int, list[int]]] = deque()  # by write, until known to have succeeded
-        self.held = self._read(image, entries)
-        self._needs_cleanup = len(self.held.entries) < len(entries) or self.held.lost != self._meta.lost
+        self.stored_state = self._read(image, entries)
+        self._needs_cleanup = (
+            len(self.stored_state.entries) < len(entries) or self.stored_state.lost != self._meta.lost
+        )
 
     def _read(self, image: Snapshot | None, entries: dict[int, Entry]) -> StoredState:
         """Reads the log up to its first gap. Entries after a gap count as lost."""
@@ -69,17 +71,17 @@
         return StoredState(meta.id, meta.term, meta.vote, image, meta.first, meta.before, tuple(log), lost)
 
     @property
-    def names(self) -> tuple[str, ...]:
+    def initial_voters(self) -> tuple[str, ...]:
         """The initial voters, as given when this data folder was first started."""
         return self._meta.names
 
-    def begin(self, names: Iterable[str]) -> Puts:
+    def initial_write(self, names: Iterable[str]) -> Puts:
         """The first write to a new data folder."""
         self._meta.names = tuple(names)
         return [(META, msgspec.msgpack.encode(self._meta))]
 
-    def puts(self, writes: Iterable[object], number: int = 0) -> Puts:
-        """Turns the record's storage effects into one write. `number` rises; `kept` takes it later."""
+    def make_write(self, writes: Iterable[object], number: int = 0) -> Puts:
+        """Turns the record's storage effects into one write. Numbers rise; see `write_succeeded`."""
         self._write_number = number
         out = self._cleanup()
         for write in writes:
@@ -103,7 +105,7 @@
         """Before the first write: removes the entries that were read but are not part of the log."""
         if not self._needs_cleanup:
             return []
-        self._needs_cleanup, held, meta = False, self.held, self._meta
+        self._needs_cleanup, held, meta = False, self.stored_state, self._meta
         meta.lost = held.lost
         log = range(held.first, held.first + len(held.entries))
         stray = self._remove([at for at in self._in_file if at not in log])
@@ -118,7 +120,7 @@
         self._removals.append((self._write_number, indexes))
         return [(_entry_key(at), None) for at in sorted(indexes)]
 
-    def kept(self, number: int) -> None:
+    def write_succeeded(self, number: int) -> None:
         """The write of that number is on disk. An earlier one that was not confirmed may have failed."""
         while self._removals and self._removals[0][0] <= number:
             write, indexes = self._removals.popleft()
@@ -144,7 +146,7 @@
         self._pending: list[Persist] = []
         self._in_flight = self._has_failed = False
 
-    def keep(self, effect: Persist) -> None:
+    def persist(self, effect: Persist) -> None:
         """Queues an effect and writes it as soon as the write in flight has ended."""
         if self._has_failed and not any(isinstance(write, ReplaceLog) for write in effect.writes):
             return
@@ -157,14 +159,14 @@
         number = self._pending[-1].number
         writes = [write for effect in self._pending for write in effect.writes]
         self._pending, self._in_flight = [], True
-        self._write(self._storage.puts(writes, number)).add_done_callback(
+        self._write(self._storage.make_write(writes, number)).add_done_callback(
             lambda future: self._write_ended(number, future.exception())
         )
 
     def _write_ended(self, number: int, problem: BaseException | None) -> None:
         self._in_flight, self._has_failed = False, problem is not None
         if problem is None:
-            self._storage.kept(number)
+            self._storage.write_succeeded(number)
         else:
             self._pending = []
         self._done(number, problem)
--- a/sableford/control/requests.py
+++ b/sableford/control/requests.py
@@ -20,7 +20,7 @@
 DIGITS = re.compile(r"[0-9]{1,20}")  # as many as the largest 64-bit number has: earlier versions accepted it
 MAX_COUNT = 2**63 - 1  # of a worker's calls: fits a signed 64-bit number everywhere
 MAX_CAPACITY = 1_000_000  # concurrent messages: far above any worker's, and sums of it can't overflow
-MAX_COLD_MS = 1e9  # some twelve days: the longest slow start that a worker may announce
+MAX_SLOW_START_MS = 1e9  # some twelve days: the longest slow start that a worker may announce
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
@@ -42,13 +42,15 @@
     phase: Phase
     call_count: Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
     revision: Annotated[str, msgspec.Meta(max_length=256)] | None = None
-    cold_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_MS)] = 0.0
+    slow_start_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_SLOW_START_MS)] = msgspec.field(
+        name="coldLeftMs", default=0.0
+    )
 
 
 class Retirement(msgspec.Struct, rename="camel", frozen=True):
     """The body of an operator's order to empty a store."""
 
-    within_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_MS)] | None = None
+    within_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_SLOW_START_MS)] | None = None
 
 
 class OrderKind(Enum):
@@ -91,7 +93,7 @@
     sableford.control.configuration.InvalidRequestError: address: 'b:' is not a host and a port
     """
     given: Heartbeat = _decoded(body, Heartbeat)
-    if not math.isfinite(given.cold_left_ms):
+    if not math.isfinite(given.slow_start_left_ms):
         raise InvalidRequestError("coldLeftMs: a number is wanted")
     host, _, port = given.address.rpartition(":")
     if not (HOST.fullmatch(host) and DIGITS.fullmatch(port) and 0 < int(port) <= MAX_PORT):
--- a/sableford/control/retirement.py
+++ b/sableford/control/retirement.py
@@ -14,7 +14,7 @@
 
 from sableford.control.presence import Presence
 from sableford.control.roster import Roster
-from sableford.control.voter_selection import Candidate, Tolerance, bearable
+from sableford.control.voter_selection import Candidate, Tolerance, can_tolerate_losses
 
 
 class Phase(Enum):
@@ -69,10 +69,10 @@
     present = [store for store in known if store.presence is Presence.SERVING]
     left = [store for store in present if store.name not in going]
     if len(left) < 2 * tolerance.machines + 1:
-        if any(store.presence is Presence.UNHEARD for store in known):
+        if any(store.presence is Presence.NOT_JOINED for store in known):
             raise RetirementRefusedError(503, "not known yet which stores are there")
         raise RetirementRefusedError(409, f"{len(left)} would be left")
     before = left + [store for store in known if store.name == host]  # it may just be restarting
-    if bearable(before, tolerance) and not bearable(left, tolerance):
+    if can_tolerate_losses(before, tolerance) and not can_tolerate_losses(left, tolerance):
         raise RetirementRefusedError(409, "those left could not bear the loss of a zone or region")
     return roster.with_retiring(node, host)
--- a/sableford/control/service.py
+++ b/sableford/control/service.py
@@ -33,7 +33,7 @@
 from sableford.control.member_client import MemberClient
 from sableford.control.member_sessions import MemberSessions
 from sableford.control.order_process import ProposalOutcome
-from sableford.control.presence import patience_ms
+from sableford.control.presence import absence_limit_ms
 from sableford.control.protocol import (
     ConfigurationVersion,
     JoinRequest,
@@ -53,7 +53,7 @@
 from sableford.duties.state import DutyState
 from sableford.duties.time_of_day import TimeOfDay
 from sableford.duties.usage_ledger import UsageLedger
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 from sableford.transport.link import Link
 from sableford.transport.link_pool import LinkPool
 from sableford.transport.peer_server import PeerServer
@@ -89,10 +89,10 @@
         settings = host.settings
         tolerates = settings.tolerates
         tolerance = Tolerance(tolerates.machine_loss, tolerates.zones, tolerates.region_loss)
-        patience = patience_ms(settings.rule_bounds.sync_s)
+        absence_limit = absence_limit_ms(settings.rule_bounds.sync_s)
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self._is_leader = False  # and has applied everything that was committed before
-        self.coordinator = Coordinator(settings.heartbeat_ms, patience)
+        self.coordinator = Coordinator(settings.heartbeat_ms, absence_limit)
         self.coordinator.majority_is_recent = self._majority_is_recent
         self.driver = RecordDriver(
             self.me,
@@ -111,7 +111,7 @@
             self.driver,
             self.coordinator,
             tolerance,
-            patience,
+            absence_limit,
             roster=lambda: self.roster,
             live_stores=lambda: host.member.view.live_stores,
             regions=lambda: host.settings.zones,
@@ -158,7 +158,7 @@
             carry_out=self.carry_out,
             log=self.log,
         )
-        self.sessions.on_status.append(manager.heard)
+        self.sessions.on_status.append(manager.status_received)
         return manager
 
     def now(self) -> float:
@@ -255,9 +255,9 @@
             self.carry_out(self.coordinator.become_leader(now, record.term, record.earlier_leader_until))
             self._roster_changed()
         elif self._is_leader and not record.leads:
-            self.end_lead()
+            self.end_leadership()
 
-    def end_lead(self) -> None:
+    def end_leadership(self) -> None:
         """Ends this process's leadership."""
         self._is_leader = False
         self.carry_out(self.coordinator.step_down())
@@ -311,7 +311,7 @@
 
     # For the calls of workers and operators
 
-    def handle(self, request: Request) -> Answer | Awaitable[Answer]:
+    def handle(self, request: HttpRequest) -> HttpResponse | Awaitable[HttpResponse]:
         """Handles an HTTP call."""
         return self._http_api.handle(request)
 
--- a/sableford/control/shard_assignment.py
+++ b/sableford/control/shard_assignment.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from sableford.control.members import Member
-from sableford.control.view import SHARDS, Number, View
+from sableford.control.view import SHARDS, View, ViewNumber
 
 
 class Release(NamedTuple):
@@ -23,7 +23,7 @@
 
     owners: list[str]
     incarnations: list[str]
-    epochs: list[Number]
+    epochs: list[ViewNumber]
     changed: bool
 
 
@@ -43,7 +43,7 @@
         self,
         view: View,
         term: int,
-        number: Number,
+        number: ViewNumber,
         targets: list[str],
         stores: dict[str, Member],
         next_update: int,
--- a/sableford/control/view.py
+++ b/sableford/control/view.py
@@ -13,8 +13,8 @@
 
 SHARDS = 60  # divides evenly among 3, 4, 5 or 6 stores; 19 stores own at least three each
 
-Number = tuple[int, int]  # term of the leader, count within it
-NO_VIEW: Number = (0, 0)  # before all others
+ViewNumber = tuple[int, int]  # term of the leader, count within it
+NO_VIEW: ViewNumber = (0, 0)  # before all others
 
 
 class StoreInfo(msgspec.Struct):
@@ -32,12 +32,12 @@
 
 
 class View(msgspec.Struct):
-    number: Number = NO_VIEW
+    number: ViewNumber = NO_VIEW
     owners: list[str] = msgspec.field(default_factory=lambda: [""] * SHARDS)
     incarnations: list[str] = msgspec.field(
         name="births", default_factory=lambda: [""] * SHARDS
     )  # of the owners
-    epochs: list[Number] = msgspec.field(
+    epochs: list[ViewNumber] = msgspec.field(
         default_factory=lambda: [(0, 0)] * SHARDS
     )  # the view in which the owner got the shard
     live_stores: dict[str, StoreInfo] = msgspec.field(
@@ -45,18 +45,20 @@
     )  # wire name of version 0.3
     roster: list[str] = []  # every store that may hold messages, live or not
     zones: dict[str, str] = {}  # the zone of each store of the roster, where the leader knows it
-    spared: list[str] = []  # stores of the roster whose replicas are not needed until they are back
+    dispensable: list[str] = msgspec.field(
+        name="spared", default_factory=list
+    )  # stores of the roster whose replicas are not needed until they are back
 
-    def owned(self, name: str, incarnation: str) -> list[int]:
+    def shards_owned_by(self, name: str, incarnation: str) -> list[int]:
         return [
             at
             for at, owner in enumerate(self.owners)
             if owner == name and self.incarnations[at] == incarnation
         ]
 
-    def newest_epochs(self) -> dict[str, Number]:
+    def newest_epochs(self) -> dict[str, ViewNumber]:
         """For each owner the epoch of the shard that it got last."""
-        newest: dict[str, Number] = {}
+        newest: dict[str, ViewNumber] = {}
         for owner, epoch in zip(self.owners, self.epochs, strict=True):
             newest[owner] = max(epoch, newest.get(owner, NO_VIEW))
         return newest
@@ -82,10 +84,10 @@
     return crc32(key.encode()) % SHARDS
 
 
-def ref_of(shard: int, name: str) -> str:
+def make_ref(shard: int, name: str) -> str:
     """A message's reference, which begins with its shard, so that any process can find its owner.
 
-    >>> ref_of(7, "9c41"), shard_in("07-9c41"), shard_in("x"), shard_in("²²-x")
+    >>> make_ref(7, "9c41"), shard_of_ref("07-9c41"), shard_of_ref("x"), shard_of_ref("²²-x")
     ('07-9c41', 7, None, None)
     """
     return f"{shard:02d}-{name}"
@@ -100,12 +102,12 @@
     ('07-b54f72ca7e2c041b0e7e8738078cc7d64ac09635', 58)
     """
     prefix = f"{TENANT_PREFIX}{tenant_tag(tenant)}." if tenant else ""
-    ref = ref_of(shard, prefix + id)
+    ref = make_ref(shard, prefix + id)
     is_plain = _READABLE_ID.fullmatch(id) is not None and len(ref) <= MAX_REF_CHARACTERS
     is_ambiguous = not tenant and id.startswith(TENANT_PREFIX)
     if is_plain and not is_ambiguous:
         return ref
-    return ref_of(shard, prefix + sha1(id.encode()).hexdigest())
+    return make_ref(shard, prefix + sha1(id.encode()).hexdigest())
 
 
 def tenant_tag(tenant: str) -> str:
@@ -113,10 +115,10 @@
     return sha256(tenant.encode()).hexdigest()[:TAG_CHARACTERS]
 
 
-def tag_in(ref: str) -> str:
+def tenant_tag_of_ref(ref: str) -> str:
     """The tag of the tenant that the message belongs to; empty if it belongs to none.
 
-    >>> tag_in(message_ref(7, "acme", "9c41")) == tenant_tag("acme"), tag_in("07-9c41")
+    >>> tenant_tag_of_ref(message_ref(7, "acme", "9c41")) == tenant_tag("acme"), tenant_tag_of_ref("07-9c41")
     (True, '')
     """
     _, _, name = ref.partition("-")
@@ -126,18 +128,20 @@
     return tag if dot else ""
 
 
-def shard_in(ref: str) -> int | None:
+def shard_of_ref(ref: str) -> int | None:
     """The shard in a message's reference; None if the text is not a reference."""
     head, dash, _ = ref.partition("-")
     digits = len(head) == 2 and head.isascii() and head.isdigit()
     return int(head) if dash and digits and int(head) < SHARDS else None
 
 
-def shares(owners: list[str], live_stores: list[str]) -> list[str]:
+def balanced_owners(owners: list[str], live_stores: list[str]) -> list[str]:
     """The target owner of each shard: evenly distributed among `live_stores`, with the fewest moves.
 
-    >>> shares(["a", "a", "a", "b"], ["a", "b"]), shares(["a", "x", "", "b"], ["a", "b"]), shares(["a"], [])
-    (['a', 'a', 'b', 'b'], ['a', 'a', 'b', 'b'], [''])
+    >>> balanced_owners(["a", "a", "a", "b"], ["a", "b"]), balanced_owners(["a"], [])
+    (['a', 'a', 'b', 'b'], [''])
+    >>> balanced_owners(["a", "x", "", "b"], ["a", "b"])
+    ['a', 'a', 'b', 'b']
     """
     if not live_stores:
         return [""] * len(owners)
--- a/sableford/control/voter_manager.py
+++ b/sableford/control/voter_manager.py
@@ -4,7 +4,7 @@
 
 from sableford.common.log import EventLog
 from sableford.control.coordinator import Coordinator
-from sableford.control.presence import RESIGN_AFTER, PresenceTracker
+from sableford.control.presence import RESIGN_AFTER_MS, PresenceTracker
 from sableford.control.record_driver import RecordDriver
 from sableford.control.roster import Roster
 from sableford.control.view import StoreInfo
@@ -21,7 +21,7 @@
         driver: RecordDriver,
         coordinator: Coordinator,
         tolerance: Tolerance,
-        patience_ms: float,
+        absence_limit_ms: float,
         roster: Callable[[], Roster],
         live_stores: Callable[[], Mapping[str, StoreInfo]],
         regions: Callable[[], Mapping[str, str]],
@@ -29,7 +29,7 @@
     ) -> None:
         self._name, self._driver, self._coordinator, self._tolerance = name, driver, coordinator, tolerance
         self._roster, self._live_stores, self._regions, self._log = roster, live_stores, regions, log
-        self._presence = PresenceTracker(patience_ms)
+        self._presence = PresenceTracker(absence_limit_ms)
         self._selection: Selection | None = None
         self._selected_from: dict[str, str] = {}  # the voters that the selection is based on
         self._zones: dict[str, str] = {}  # the last known zone of each store
@@ -38,7 +38,7 @@
 
     def become_leader(self, now: float) -> None:
         """This process becomes leader."""
-        self._presence.begin(now)
+        self._presence.become_leader(now)
 
     def update(self, now: float, leads: bool) -> None:
         """Sets the voters that the record is to work towards; it changes one voter at a time."""
@@ -88,7 +88,7 @@
         if member is None or not member.leaving:
             self._leaving_since = now
             return True  # it is being emptied, or other voters tolerate the loss of a zone better
-        return self._name in self._coordinator.retiring or now - self._leaving_since >= RESIGN_AFTER
+        return self._name in self._coordinator.retiring or now - self._leaving_since >= RESIGN_AFTER_MS
 
     def candidates(self, now: float, voters: Iterable[str] = ()) -> list[Candidate]:
         """All stores that vote or are in the roster, in their current state."""
@@ -100,5 +100,7 @@
             is_member, leaving, complete, zone = True, member.leaving, member.complete, member.zone
         else:
             is_member, leaving, complete, zone = False, False, False, self._zones.get(name, "")
-        presence = self._presence.of(now, name, is_member, leaving, name in self._coordinator.retiring)
+        presence = self._presence.presence_of(
+            now, name, is_member, leaving, name in self._coordinator.retiring
+        )
         return Candidate(name, zone, self._regions().get(zone, ""), presence, complete)
--- a/sableford/control/voter_selection.py
+++ b/sableford/control/voter_selection.py
@@ -1,7 +1,7 @@
 """Selects the voters of the record, from the current voters and the state of the stores. No I/O.
 
     current voter                                 available replacement             selected
-    serving, unheard or absent for a short time   -                                 it keeps its vote
+    serving, not joined or absent for a short time -                                 it keeps its vote
     leaving, retiring or gone                     yes                               the replacement
     leaving, retiring or gone                     no                                it keeps its vote
     gone or leaving                               one that is being emptied         that one, for the time
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from sableford.control.presence import KEEPS_SEAT, Presence
+from sableford.control.presence import KEEPS_VOTE, Presence
 
 
 class Tolerance(msgspec.Struct, frozen=True):
@@ -66,8 +66,8 @@
     """
     known = {store.name: store for store in stores}
     voting = [known.get(name, Candidate(name, presence=Presence.GONE)) for name in voters]
-    keeping = [store for store in voting if store.presence in KEEPS_SEAT]
-    outgoing = [store for store in voting if store.presence not in KEEPS_SEAT]
+    keeping = [store for store in voting if store.presence in KEEPS_VOTE]
+    outgoing = [store for store in voting if store.presence not in KEEPS_VOTE]
     names = {store.name for store in voting}
     spare = [
         store for store in known.values() if store.name not in names and store.presence is Presence.SERVING
@@ -104,7 +104,7 @@
     return least
 
 
-def bearable(stores: list[Candidate], tolerance: Tolerance) -> bool:
+def can_tolerate_losses(stores: list[Candidate], tolerance: Tolerance) -> bool:
     """Whether voters can be placed on these stores so that all losses to be tolerated leave a majority."""
     seats = seats_needed(stores, tolerance)
     return len(stores) >= seats and all(_tolerated(_filled([], stores, seats, tolerance), tolerance))
--- a/sableford/control/worker_registry.py
+++ b/sableford/control/worker_registry.py
@@ -129,4 +129,4 @@
 
 def _is_same_entry(one: Worker, other: Worker) -> bool:
     """Whether two entries are equal, apart from the fields that change with each call."""
-    return msgspec.structs.replace(one, cold_ms=other.cold_ms, count=other.count) == other
+    return msgspec.structs.replace(one, slow_start_ms=other.slow_start_ms, count=other.count) == other
--- a/sableford/control/workers.py
+++ b/sableford/control/workers.py
@@ -24,8 +24,8 @@
 
 
 class Worker(msgspec.Struct):
-    """An entry of the list, as it is sent to stores. `cold_ms` is the rest of the worker's slow start when
-    the entry was sent; `count` is the number of the worker's call that it comes from."""
+    """An entry of the list, as it is sent to stores. `slow_start_ms` is the rest of the worker's slow start
+    when the entry was sent; `count` is the number of the worker's call that it comes from."""
 
     id: str
     backend: str
@@ -33,7 +33,7 @@
     zone: str
     capacity: int
     phase: str
-    cold_ms: float
+    slow_start_ms: float = msgspec.field(name="cold_ms")
     revision: str = ""
     count: int = -1
 
--- a/sableford/simulation/consensus/growth.py
+++ b/sableford/simulation/consensus/growth.py
@@ -77,15 +77,15 @@
             name,
             self._births,
             self.names,
-            member.storage.held,
+            member.storage.stored_state,
             self.trial.now,
             7,
             most=MOST,
             newcomer=wiped or newcomer,
             transport=self.transport,
         )
-        if member.storage.fresh:
-            member.write(member.storage.begin(self.names))
+        if member.storage.is_new:
+            member.write(member.storage.initial_write(self.names))
         core.around = tuple(self.members)
         for other in self.cores.values():
             other.around = tuple(self.members)
@@ -149,8 +149,8 @@
             self.trial.do(name, core.failed(self.trial.now, "No space left on device"))
             self.trial.at(self.trial.now + 1000.0, name, lambda: self.trial.do(name, core.rewrite()))
             return
-        member.write(member.storage.puts(store.writes, store.number))
-        member.storage.kept(store.number)
+        member.write(member.storage.make_write(store.writes, store.number))
+        member.storage.write_succeeded(store.number)
         self.trial.do(name, core.stored(self.trial.now, store.number))
 
 
--- a/sableford/simulation/membership/model.py
+++ b/sableford/simulation/membership/model.py
@@ -16,7 +16,7 @@
 
 from sableford.control.coordinator import Coordinator
 from sableford.control.effects import AddStore, RemoveStore
-from sableford.control.presence import RESIGN_AFTER, PresenceTracker, patience_ms
+from sableford.control.presence import RESIGN_AFTER_MS, PresenceTracker, absence_limit_ms
 from sableford.control.protocol import JoinRequest, MemberStatus, RenewRequest, with_status
 from sableford.control.retirement import RetirementRefusedError, begin_retirement, may_complete
 from sableford.control.roster import Roster
@@ -108,7 +108,7 @@
         return Coordinator(1200.0, self.patience)
 
     def patience_of(self, sync_s: float) -> float:
-        return patience_ms(sync_s)
+        return absence_limit_ms(sync_s)
 
     def select(self, candidates: list[Candidate]) -> tuple[str, ...]:
         return select_voters(self.voters, candidates, self.tolerance).voters
@@ -297,7 +297,7 @@
         self.say(f"{self.leader} leads")
         store = self.stores[self.leader]
         store.wanted = tuple(self.voters)
-        store.tracker.begin(self.now)
+        store.tracker.become_leader(self.now)
         self._change_at = self.now
         self.coordinator = store.coordinator
         self.coordinate(self.coordinator.become_leader(self.now, self.term))
@@ -498,7 +498,7 @@
                 here, leaving, complete = True, member.leaving, member.complete
             else:
                 here, leaving, complete = False, False, False
-            presence = tracker.of(self.now, name, here, leaving, name in coordinator.retiring)
+            presence = tracker.presence_of(self.now, name, here, leaving, name in coordinator.retiring)
             found.append(Candidate(name, self.stores[name].zone, "", presence, complete))
         return found
 
@@ -519,7 +519,7 @@
             self.pending = voters
             self.later(self.draw.uniform(*AGREE), self.voters_agreed, voters, self.term)
         filled = self.leader not in store.wanted and set(store.wanted) <= self.voters.keys()
-        stays = not store.leaving or self.now - store.leaving_at >= RESIGN_AFTER
+        stays = not store.leaving or self.now - store.leaving_at >= RESIGN_AFTER_MS
         if filled and self.pending is None and (stays or self.leader in self.coordinator.retiring):
             self.lead_no_more()
 
--- a/sableford/simulation/membership/walk.py
+++ b/sableford/simulation/membership/walk.py
@@ -18,7 +18,7 @@
 
 from sableford.control.presence import Presence
 from sableford.control.roster import Roster
-from sableford.control.voter_selection import Candidate, bearable, select_voters
+from sableford.control.voter_selection import Candidate, can_tolerate_losses, select_voters
 from sableford.simulation.membership.model import MembershipModel, SimulatedStore
 
 BEGUN = 4000.0  # ms: all have come together for the first time
@@ -88,7 +88,7 @@
             for name in self.roster.stores
             if name not in going and self.stores[name].up and not self.stores[name].leaving
         ]
-        return bearable(stay, self.tolerance)
+        return can_tolerate_losses(stay, self.tolerance)
 
     def do_zone(self, store: SimulatedStore) -> None:
         """A whole zone without power."""
--- a/sableford/store/effect_executor.py
+++ b/sableford/store/effect_executor.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 from sableford.common.log import EventLog
-from sableford.control.view import Number
+from sableford.control.view import ViewNumber
 from sableford.duties.usage_counts import UsageCounts
 from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.delivery import DeliveryClient, Destination
@@ -189,7 +189,7 @@
 
     # Other stores
 
-    def _copy_message(self, to: str, ref: str, epoch: Number) -> None:
+    def _copy_message(self, to: str, ref: str, epoch: ViewNumber) -> None:
         message = self._queue.state.messages.get(ref)
         if message is None:
             return
@@ -199,7 +199,7 @@
         request = message.copy_request(self._now(), epoch)
         self._call(to, request, lambda response: self._message_copied(ref, to, response), message.body)
 
-    async def _load_and_copy(self, to: str, message: Message, epoch: Number) -> None:
+    async def _load_and_copy(self, to: str, message: Message, epoch: ViewNumber) -> None:
         message.body = await self._bodies.body_of(message)
         if message.body is not None and message.ref in self._queue.state.messages:
             self._copy_message(to, message.ref, epoch)
@@ -260,7 +260,7 @@
 
         verdict = effect.verdict
         request = DeliveryResultRequest(
-            effect.ref, effect.shard, verdict.execution.value, verdict.why, verdict.seal, verdict.reached
+            effect.ref, effect.shard, verdict.execution.value, verdict.reason, verdict.seal, verdict.reached
         )
         self._call(effect.to, request, answered)
 
@@ -274,7 +274,7 @@
                 ref=effect.ref,
                 worker=effect.worker,
                 ran=verdict.execution.value,
-                why=verdict.why,
+                why=verdict.reason,
             )
         self.carry_out(self._queue.delivered(self._now(), effect.ref, effect.worker, verdict))
 
--- a/sableford/store/peer_requests.py
+++ b/sableford/store/peer_requests.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from sableford.control.view import shard_in
+from sableford.control.view import shard_of_ref
 from sableford.store.choice import Choice
 from sableford.store.effect_executor import EffectExecutor
 from sableford.store.message_storage import BodyReader, Clocks, MessageStorage
@@ -184,7 +184,7 @@
 
     def _status(self, incoming: IncomingMessage[StatusRequest]) -> None:
         ref = incoming.message.ref
-        is_owner = shard_in(ref) in self._queue.state.owned and self._queue.state.holds_lease(self._now())
+        is_owner = shard_of_ref(ref) in self._queue.state.owned and self._queue.state.holds_lease(self._now())
         incoming.respond(StatusResponse(self._queue.status(ref), ref, is_owner))
 
     async def _body(self, incoming: IncomingMessage[BodyRequest]) -> None:
--- a/sableford/store/queue.py
+++ b/sableford/store/queue.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, ClassVar, NamedTuple
 
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.store.acceptance import Acceptance, Put
 from sableford.store.choice import Choice
 from sableford.store.delivery_order import DeliveryOrder
@@ -41,7 +41,7 @@
 from sableford.store.rate_limits import RateLimits
 from sableford.store.replica_placement import ReplicaPlacement
 from sableford.store.shard_takeover import ShardTakeover
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Verdict
 
 
@@ -69,7 +69,7 @@
         name: str,
         incarnation: str,
         machine_loss: int,
-        table: Table,
+        table: RoutingTable,
         choice: Choice,
         status_s: float,
         complete: bool,
@@ -133,7 +133,7 @@
         is_accepted = message.state not in (State.ACCEPTING, State.ENDING)
         return self.state.owns(message) and is_accepted and not self._placement.is_safe(message)
 
-    def configure(self, now: float, table: Table) -> list[Effect]:
+    def configure(self, now: float, table: RoutingTable) -> list[Effect]:
         """Another version of the configuration is in force."""
         self.state.table = table
         self.choice.fix(now, table)
@@ -290,7 +290,7 @@
             if message.state is State.REPLICA:
                 message.body = None
 
-    def drop_allowed(self, now: float, ref: str, epoch: Number) -> bool:
+    def drop_allowed(self, now: float, ref: str, epoch: ViewNumber) -> bool:
         """Whether it is to go from the disk: its shard's owner knows nothing of it."""
         state, message = self.state, self.state.messages.get(ref)
         if message is None or state.owns(message) or state.is_being_taken_over(message.shard):
--- a/sableford/store/shard_takeover.py
+++ b/sableford/store/shard_takeover.py
@@ -5,7 +5,7 @@
 it on has acknowledged the view before, begins nothing more, and tells how what it had in flight has ended.
 """
 
-from sableford.control.view import Number, View, shard_in
+from sableford.control.view import View, ViewNumber, shard_of_ref
 from sableford.store.acceptance import REFUSED_MAYBE_KEPT, Acceptance
 from sableford.store.choice import Choice
 from sableford.store.delivery_order import DeliveryOrder
@@ -49,14 +49,14 @@
         self._replication, self._final_states = replication, final_states
         self._endings, self._acceptance = endings, acceptance
         self._seen: dict[str, str] = {}  # the incarnation of each store in the last view
-        self._comparing: dict[str, dict[int, Number]] = {}  # stores that were asked, about which shards
+        self._comparing: dict[str, dict[int, ViewNumber]] = {}  # stores that were asked, about which shards
         self._compared: dict[str, tuple[str, set[int]]] = {}  # by store: incarnation and shards
 
     def apply_view(self, now: float, view: View) -> None:
         """The newest view, at once in force here."""
         state = self._state
         state.view = view
-        mine = {shard: view.epochs[shard] for shard in view.owned(state.me, state.incarnation)}
+        mine = {shard: view.epochs[shard] for shard in view.shards_owned_by(state.me, state.incarnation)}
         own = view.live_stores.get(state.me)
         if own is not None and own.incarnation == state.incarnation:
             state.complete = state.complete or own.complete
@@ -88,7 +88,7 @@
         new = {name for name, one in self._seen.items() if before.get(name) != one}
         return gone - {me}, new - {me}
 
-    def _release_lost(self, mine: dict[int, Number]) -> None:
+    def _release_lost(self, mine: dict[int, ViewNumber]) -> None:
         released = [shard for shard, epoch in self._state.owned.items() if mine.get(shard) != epoch]
         for shard in released:
             self._release(shard)
@@ -110,7 +110,7 @@
                 message.state = State.REPLICA
             self._order.forget_key(message)
 
-    def _begin_takeovers(self, now: float, mine: dict[int, Number]) -> None:
+    def _begin_takeovers(self, now: float, mine: dict[int, ViewNumber]) -> None:
         state = self._state
         for takeover in self.under_way():
             takeover.shards &= mine.keys()
@@ -303,7 +303,7 @@
         # Of a shard that has changed hands since it was asked about, what is unknown here is the new owner's.
         ours = {shard for shard, epoch in asked.items() if self._state.owned.get(shard) == epoch}
         for ref in sorted(response.refs):
-            shard = shard_in(ref)
+            shard = shard_of_ref(ref)
             if shard is not None and shard in ours:
                 self._compare_message(now, store, ref, shard)
         self._note_compared(store, ours)
--- a/tests/lead_start.py
+++ b/tests/leader_startup.py
@@ -4,7 +4,7 @@
 
 from sableford.control.coordinator import Coordinator
 from sableford.control.effects import SendUpdate
-from sableford.control.lead_start import LeadStart
+from sableford.control.leader_startup import LeaderStartup
 from sableford.control.members import Member
 from sableford.control.protocol import JoinRequest, RenewRequest
 from sableford.control.view import SHARDS, StoreInfo, View
@@ -18,13 +18,19 @@
 LEASE_LEFT_MS = 700.0
 
 
-def old_view(spared: tuple[str, ...] = ()) -> View:
+def old_view(dispensable: tuple[str, ...] = ()) -> View:
     """Shards are shared by all three in their incarnations `a1`, `b1`, `c1`, since epoch (3, 9)."""
     owners = [ROSTER[shard % 3] for shard in range(SHARDS)]
     live_stores = {name: StoreInfo(f"{name}1", f"z{name}") for name in ROSTER}
     incarnations = [f"{owner}1" for owner in owners]
     return View(
-        (3, 9), owners, incarnations, [(3, 9)] * SHARDS, live_stores, list(ROSTER), spared=list(spared)
+        (3, 9),
+        owners,
+        incarnations,
+        [(3, 9)] * SHARDS,
+        live_stores,
+        list(ROSTER),
+        dispensable=list(dispensable),
     )
 
 
@@ -86,17 +92,17 @@
         (1010.0, 300.0, True),
         (1400.0, 0.0, False),
     ):
-        assert LeadStart(1000.0, 900.0).lease_is_unbroken(joined_at, left_ms) == is_unbroken, joined_at
+        assert LeaderStartup(1000.0, 900.0).lease_is_unbroken(joined_at, left_ms) == is_unbroken, joined_at
 
 
 def shows_what_can_be_done_without_is_believed_only_of_a_view_that_is_not_old() -> None:
     """By view (3, 9) nothing is needed on c's disk; c may have been back since."""
-    for lease_left_ms, spared in ((0.0, []), (LEASE_LEFT_MS, ["c"])):
-        view = old_view(spared=("c",))
+    for lease_left_ms, dispensable in ((0.0, []), (LEASE_LEFT_MS, ["c"])):
+        view = old_view(dispensable=("c",))
         del view.live_stores["c"]
         first, second = (join(name, f"{name}1", view, lease_left_ms) for name in "ab")
         coordinator = lead(first, second, at=2300.0)
-        assert coordinator.view.spared == spared, lease_left_ms
+        assert coordinator.view.dispensable == dispensable, lease_left_ms
 
 
 def shows_nothing_is_done_without_stores_that_have_not_come_back_where_nobody_knows_any_view() -> None:
@@ -108,7 +114,7 @@
         all_acknowledge(coordinator)
         coordinator.tick(now)
     assert set(coordinator.view.owners) == {"a"}
-    assert coordinator.view.spared == []
+    assert coordinator.view.dispensable == []
 
 
 def shows_what_an_owner_said_before_it_had_its_shards_speaks_for_none_of_their_messages() -> None:
@@ -118,12 +124,12 @@
     without_shards = coordinator.view.number
     all_acknowledge(coordinator)
     assert coordinator.view.owners.count("a") == SHARDS
-    for said, spared in ((without_shards, []), (coordinator.view.number, ["b", "c"])):
+    for said, dispensable in ((without_shards, []), (coordinator.view.number, ["b", "c"])):
         assert coordinator.renewed(2020.0, "a", renewal("a", "a2", safe=said))
         for now in (2020.0, 2021.0):  # what was told is in the next view
             all_acknowledge(coordinator)
             coordinator.tick(now)
-        assert coordinator.view.spared == spared, said
+        assert coordinator.view.dispensable == dispensable, said
 
 
 def shows_a_store_that_lost_its_disk_is_complete_only_once_owners_compared_all_that_they_own() -> None:
@@ -144,13 +150,13 @@
 
 
 def shows_an_edge_vouches_for_a_view_as_a_store_does() -> None:
-    start, view = LeadStart(1000.0, 900.0), old_view()
+    start, view = LeaderStartup(1000.0, 900.0), old_view()
     edge = Member("e1", "edge", "z", "e", "", 2000.0, lease_is_unbroken=True)
     start.joined("e", edge, view)
-    assert start.first_view(View(), {"e": edge}).is_vouched_for
+    assert start.first_view(View(), {"e": edge}).is_recent
     newer = View((4, 1), list(view.owners), list(view.incarnations), list(view.epochs))
     start.joined("f", Member("f1", "edge", "z", "f", "", 2000.0), newer)
-    assert not start.first_view(View(), {"e": edge}).is_vouched_for
+    assert not start.first_view(View(), {"e": edge}).is_recent
 
 
 def shows_a_replica_accepted_under_a_later_owner_is_not_dropped_for_an_earlier_one() -> None:
@@ -175,8 +181,8 @@
 
 def shows_a_leader_that_believes_an_old_view_is_found_by_the_walk() -> None:
     """Planted: whoever joins goes on with what it owned by the newest view that is told of."""
-    unbroken = LeadStart.lease_is_unbroken
-    LeadStart.lease_is_unbroken = lambda self, now, lease_left_ms: True
+    unbroken = LeaderStartup.lease_is_unbroken
+    LeaderStartup.lease_is_unbroken = lambda self, now, lease_left_ms: True
     try:
         for seed in range(6):
             Simulation(seed, **RELIEVED).play()
@@ -185,7 +191,7 @@
     else:
         raise AssertionError("not found")
     finally:
-        LeadStart.lease_is_unbroken = unbroken
+        LeaderStartup.lease_is_unbroken = unbroken
 
 
 def shows_stores_that_come_at_once_are_told_of_in_few_views() -> None:
