--- a/sableford/store/queue_state.py
+++ b/sableford/store/queue_state.py
@@ -12,11 +12,11 @@
 
 from itertools import count
 
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.store.messages import Effect, Message
 from sableford.store.protocol import FinalState, MessageState
 from sableford.store.takeover import Takeover
-from sableford.transport.routes import Route, Table
+from sableford.transport.routes import Route, RoutingTable
 
 PENDING, COMPLETE, DEAD_LETTER = "pending", "complete", "dead_letter"  # phases, as clients read them
 
@@ -25,7 +25,7 @@
     """`complete`: the own disk holds all that it ever said to hold. Times are ms of the steady clock, but for
     `unix`."""
 
-    def __init__(self, name: str, incarnation: str, table: Table, complete: bool) -> None:
+    def __init__(self, name: str, incarnation: str, table: RoutingTable, complete: bool) -> None:
         self.me, self.incarnation, self.table, self.complete = name, incarnation, table, complete
         self.lease = 0.0  # until when this process may act
         self.unix = 0.0  # the time of day, as of the last tick
@@ -38,7 +38,7 @@
         self.ending: dict[str, None] = {}  # the same
         self.final_states: dict[str, FinalState] = {}
         self.unsynced_final_states: set[str] = set()  # known here, and not on the own disk
-        self.owned: dict[int, Number] = {}  # shards that are served here, and since which epoch
+        self.owned: dict[int, ViewNumber] = {}  # shards that are served here, and since which epoch
         self.takeovers: dict[int, Takeover] = {}  # under way, by shard
         self.in_flight: dict[str, int] = {}  # sent from here and not over, with their shards
         self._rounds, self._positions = count(1), count(1)
--- a/tests/pairs.py
+++ b/tests/pairs.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.simulation.stores import Simulation
 from sableford.store import choice as store_choice
 from sableford.store import messages
@@ -102,7 +102,7 @@
     def body(self, body: bytes | None) -> None:
         self.older.body = body
 
-    def copy_request(self, now: float, epoch: Number) -> CopyRequest:
+    def copy_request(self, now: float, epoch: ViewNumber) -> CopyRequest:
         head = self.older.head | self.older.times(now) | {"epoch": epoch, "tries": self.older.tries}
         return msgspec.convert(head, CopyRequest)
 
