--- a/sableford/intake/charter.py
+++ b/sableford/intake/scheduler_settings.py
@@ -8,23 +8,23 @@
 
 import msgspec
 
-from sableford.model import Account, Duties, Repeats, Scheme, Scope, Tariff, Terms
+from sableford.model import Account, Obligations, ProtocolLimits, Repeats, SchedulerConfig, Scheme, Scope
 
 _REPEATS = {"safe": Repeats.REPEATABLE, "keyed": Repeats.REFERENCED, "unsafe": Repeats.ONCE_ONLY}
 _SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
-class Charter(NamedTuple):
+class SchedulerSettings(NamedTuple):
     """Parsed settings. Names are in index order and include removed ones; times are in ms."""
 
-    terms: Terms
+    config: SchedulerConfig
     schemes: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    figures: tuple[str, ...]
-    idle: float
-    connect: float
-    taken: frozenset[str] = frozenset()  # names that clients may use
+    load_columns: tuple[str, ...]
+    idle_timeout: float
+    connect_timeout: float
+    accepted_schemes: frozenset[str] = frozenset()  # names that clients may use
 
 
 class _Scheme(msgspec.Struct):
@@ -115,7 +115,7 @@
     return values[at] if at < len(values) else default
 
 
-def _scheme(at: int, given: _Scheme, facts: _Specifics) -> Scheme:
+def _scheme(at: int, given: _Scheme, specifics: _Specifics) -> Scheme:
     if given.effect not in _REPEATS:
         raise ValueError(f"schemes[{at}].effect: unknown word {given.effect!r}")
     for field in ("sla_time_s", "expiry_s"):
@@ -125,7 +125,7 @@
         raise ValueError(f"schemes[{at}].tardy_earnings: not a part of the earnings")
     if not isfinite(given.earnings) or not isfinite(given.memory_span_s):
         raise ValueError(f"schemes[{at}]: not a finite number")
-    stretch = given.aim_stretch if given.aim_stretch is not None else _nth(facts.class_stretch, at, 0.0)
+    stretch = given.aim_stretch if given.aim_stretch is not None else _nth(specifics.class_stretch, at, 0.0)
     return Scheme(
         repeats=_REPEATS[given.effect],
         scope=_SCOPES.get(given.dedup_scope, Scope.CELL),
@@ -135,17 +135,17 @@
         expiry=given.expiry_s * 1000.0,
         earnings=given.earnings,
         tardy=given.tardy_earnings,
-        kind=_nth(facts.class_kind, at, -1),
+        kind=_nth(specifics.class_kind, at, -1),
     )
 
 
-def _word(field: str, given: str, known: tuple[str, ...]) -> str:
+def _known_value(field: str, given: str, known: tuple[str, ...]) -> str:
     if given not in known:
         raise ValueError(f"{field}: unknown word {given!r}")
     return given
 
 
-def read_charter(text: bytes) -> Charter:
+def parse_settings(text: bytes) -> SchedulerSettings:
     """Parses the settings; raises ValueError that names a missing or invalid one."""
     try:
         profile = _decoder.decode(text)
@@ -157,25 +157,25 @@
     if len(set(names)) < len(names):
         raise ValueError(f"settings: schemes: a name twice: {max(names, key=names.count)!r}")
     columns = profile.load_info.columns if profile.load_info.via != "off" else []
-    facts, limits, owed = profile.specifics, profile.limits, profile.obligations
-    places = {name: at for at, name in enumerate(columns)}
-    meanings = {facts.report_x0: places.get("x0", -1), facts.report_x1: places.get("x1", -1)}
-    terms = Terms(
+    specifics, limits, obligations = profile.specifics, profile.limits, profile.obligations
+    column = {name: at for at, name in enumerate(columns)}
+    by_meaning = {specifics.report_x0: column.get("x0", -1), specifics.report_x1: column.get("x1", -1)}
+    config = SchedulerConfig(
         schedulers=profile.instances,
         position=profile.position,
         zone=profile.zone,
-        schemes=tuple(_scheme(at, given, facts) for at, given in enumerate(profile.schemes)),
+        schemes=tuple(_scheme(at, given, specifics) for at, given in enumerate(profile.schemes)),
         accounts=tuple(Account(tenant.allowance_per_s) for tenant in profile.tenants),
-        duties=Duties(
-            owed.start_capacity,
-            owed.warm_within_s * 1000.0,
-            owed.overload_factor,
-            owed.fall_s * 1000.0,
-            owed.soft_removal,
-            owed.busy_is_no_proof,
-            owed.start_drift_s * 1000.0,
+        obligations=Obligations(
+            obligations.start_capacity,
+            obligations.warm_within_s * 1000.0,
+            obligations.overload_factor,
+            obligations.fall_s * 1000.0,
+            obligations.soft_removal,
+            obligations.busy_is_no_proof,
+            obligations.start_drift_s * 1000.0,
         ),
-        tariff=Tariff(
+        limits=ProtocolLimits(
             postings=limits.most_postings,
             call_off=limits.may_cancel,
             probes=limits.probes,
@@ -183,57 +183,57 @@
             overage=profile.overage_earnings,
             crossing=profile.prices.cross_zone,
         ),
-        tells_start=facts.tells_start,
-        progress=facts.progress_s * 1000.0,
-        live=_word("weights", profile.weights, ("off", "nominal", "rough", "live")) == "live",
-        follows=profile.registry_mode == "subscribe",
-        ask_within=owed.ask_within_s * 1000.0 if profile.registry_mode == "subscribe" else 0.0,
-        waiting=places.get("depth", -1),
-        handled=places.get("concurrent", -1),
-        free_slots=meanings.get("free slots", -1),
-        tells=limits.peers and profile.instances > 1,
+        start_known=specifics.tells_start,
+        progress=specifics.progress_s * 1000.0,
+        live_ratings=_known_value("weights", profile.weights, ("off", "nominal", "rough", "live")) == "live",
+        subscribes=profile.registry_mode == "subscribe",
+        ask_within=obligations.ask_within_s * 1000.0 if profile.registry_mode == "subscribe" else 0.0,
+        waiting=column.get("depth", -1),
+        handled=column.get("concurrent", -1),
+        free_slots=by_meaning.get("free slots", -1),
+        notify_peers=limits.peers and profile.instances > 1,
         punctual=profile.scoring_mix.punctual > 0.0 and profile.scoring_mix.miss_allowed < 1.0,
-        by_work=_word("earnings_by", profile.earnings_by, ("request", "work")) == "work",
+        by_work=_known_value("earnings_by", profile.earnings_by, ("request", "work")) == "work",
     )
-    return Charter(
-        terms,
+    return SchedulerSettings(
+        config,
         schemes=tuple(given.name for given in profile.schemes),
         zones=tuple(profile.zones),
         kinds=tuple(profile.skus),
-        figures=tuple(columns),
-        idle=limits.conn_idle_s * 1000.0,
-        connect=limits.connect_timeout_s * 1000.0,
-        taken=frozenset(names),
+        load_columns=tuple(columns),
+        idle_timeout=limits.conn_idle_s * 1000.0,
+        connect_timeout=limits.connect_timeout_s * 1000.0,
+        accepted_schemes=frozenset(names),
     )
 
 
-def _onto(now: tuple[str, ...], new: tuple[str, ...]) -> tuple[str, ...]:
+def _append_new(now: tuple[str, ...], new: tuple[str, ...]) -> tuple[str, ...]:
     """
-    >>> _onto(("a", "b"), ("c", "b"))
+    >>> _append_new(("a", "b"), ("c", "b"))
     ('a', 'b', 'c')
     """
     return now + tuple(name for name in new if name not in now)
 
 
-def amended(now: Charter, new: Charter) -> Charter:
-    """Returns the new settings with known schemes, zones and kinds at their indices; removed ones stay there.
+def merge_settings(now: SchedulerSettings, new: SchedulerSettings) -> SchedulerSettings:
+    """Returns the new settings; known schemes, zones and kinds keep their indices, also removed ones.
 
     The way in which the worker list is obtained can't change while the process runs.
     """
-    schemes, zones, kinds = (_onto(now[at], new[at]) for at in (1, 2, 3))
+    schemes, zones, kinds = (_append_new(now[at], new[at]) for at in (1, 2, 3))
 
     def scheme(at: int, name: str) -> Scheme:
         if name not in new.schemes:
-            return now.terms.schemes[at]
-        given = new.terms.schemes[new.schemes.index(name)]
+            return now.config.schemes[at]
+        given = new.config.schemes[new.schemes.index(name)]
         known = 0 <= given.kind < len(new.kinds)
         return given._replace(kind=kinds.index(new.kinds[given.kind])) if known else given
 
-    zone = new.terms.zone
-    terms = new.terms._replace(
+    zone = new.config.zone
+    config = new.config._replace(
         schemes=tuple(scheme(at, name) for at, name in enumerate(schemes)),
         zone=zones.index(new.zones[zone]) if zone < len(new.zones) else zone,
-        follows=now.terms.follows,
-        ask_within=now.terms.ask_within,
+        subscribes=now.config.subscribes,
+        ask_within=now.config.ask_within,
     )
-    return new._replace(terms=terms, schemes=schemes, zones=zones, kinds=kinds)
+    return new._replace(config=config, schemes=schemes, zones=zones, kinds=kinds)
--- a/sableford/legacy.py
+++ b/sableford/learned_state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from sableford.intake.charter import Charter
+from sableford.intake.scheduler_settings import SchedulerSettings
 from sableford.policy.scheduler import Scheduler
 
 MAX_VALUE = 1e9  # limit of any value: larger ones are invalid
@@ -37,7 +37,7 @@
 TIMES = ("heard_at", "touched", "true_at", "judged", "at")  # keys of times, which can't lie in the future
 
 
-class Legacy(msgspec.Struct):
+class LearnedState(msgspec.Struct):
     """Measurements by name: of kinds, schemes, and workers with their start times."""
 
     kinds: dict[str, dict[str, float]] = {}
@@ -46,31 +46,35 @@
     workers: dict[str, dict[str, float]] = {}
 
 
-def left_by(core: Scheduler, names: list[str], charter: Charter) -> Legacy:
+def export_state(core: Scheduler, names: list[str], settings: SchedulerSettings) -> LearnedState:
     """Exports the measurements; `names` are the workers' ids by index."""
-    kinds = {charter.kinds[at]: _figures(kind, KIND) for at, kind in core.kinds.items()}
-    schemes = {name: _figures(core.runs[at], RUN) for at, name in enumerate(charter.schemes)}
-    queues = zip(charter.schemes, core.queues[0], strict=False)
+    kinds = {settings.kinds[at]: _figures(kind, KIND) for at, kind in core.kinds.items()}
+    schemes = {name: _figures(core.runs[at], RUN) for at, name in enumerate(settings.schemes)}
+    queues = zip(settings.schemes, core.queues[0], strict=False)
     flows = {name: (queue.flow.sum, queue.flow.at) for name, queue in queues}
     workers = {
         names[at]: _figures(worker, WORKER) | {"since": worker.since, "jobs": worker.others + worker.own}
         for at, worker in core.workers.items()
         if worker.others >= 0.0
     }
-    return Legacy(kinds, schemes, flows, workers)
+    return LearnedState(kinds, schemes, flows, workers)
 
 
-def teach(
-    core: Scheduler, legacy: Legacy, index: Callable[[str], int | None], charter: Charter, now: float
+def restore_state(
+    core: Scheduler,
+    state: LearnedState,
+    index: Callable[[str], int | None],
+    settings: SchedulerSettings,
+    now: float,
 ) -> None:
     """Restores measurements into a scheduler that has its first list; skips unknown and invalid ones."""
     for at, kind in core.kinds.items():
-        _put(kind, legacy.kinds.get(charter.kinds[at], {}), KIND, now)
-    for at, name in enumerate(charter.schemes):
-        _put(core.runs[at], legacy.schemes.get(name, {}), RUN, now)
-        flow, flow_at = legacy.flows.get(name, (0.0, 0.0))
+        _put(kind, state.kinds.get(settings.kinds[at], {}), KIND, now)
+    for at, name in enumerate(settings.schemes):
+        _put(core.runs[at], state.schemes.get(name, {}), RUN, now)
+        flow, flow_at = state.flows.get(name, (0.0, 0.0))
         _put(core.queues[0][at].flow, {"sum": flow, "at": flow_at}, FLOW, now)
-    for name, figures in legacy.workers.items():
+    for name, figures in state.workers.items():
         known = index(name)
         if known is None or (entry := core.listed.get(known)) is None or figures.get("since") != entry.since:
             continue
--- a/sableford/model/terms.py
+++ b/sableford/model/config.py
@@ -12,7 +12,7 @@
     ONCE_ONLY = 2
 
 
-class Again(IntEnum):
+class RetryScope(IntEnum):
     """Where a txn may be retried."""
 
     ANYWHERE = 0
@@ -21,13 +21,13 @@
 
 
 # (scheme's repeats, whether an earlier posting may have run) -> (where to retry, whether to decline)
-PERMITS = {
-    (Repeats.REPEATABLE, False): (Again.ANYWHERE, True),
-    (Repeats.REPEATABLE, True): (Again.ANYWHERE, True),
-    (Repeats.REFERENCED, False): (Again.ANYWHERE, True),
-    (Repeats.REFERENCED, True): (Again.IN_GROUP, False),
-    (Repeats.ONCE_ONLY, False): (Again.ANYWHERE, True),
-    (Repeats.ONCE_ONLY, True): (Again.NOWHERE, False),
+RETRY_RULES = {
+    (Repeats.REPEATABLE, False): (RetryScope.ANYWHERE, True),
+    (Repeats.REPEATABLE, True): (RetryScope.ANYWHERE, True),
+    (Repeats.REFERENCED, False): (RetryScope.ANYWHERE, True),
+    (Repeats.REFERENCED, True): (RetryScope.IN_GROUP, False),
+    (Repeats.ONCE_ONLY, False): (RetryScope.ANYWHERE, True),
+    (Repeats.ONCE_ONLY, True): (RetryScope.NOWHERE, False),
 }
 
 
@@ -59,14 +59,14 @@
     allowance: float
 
 
-class Duties(NamedTuple):
+class Obligations(NamedTuple):
     """Parameters of the obligations towards workers: slow start, removal and full replies."""
 
     cold_share: float
     warm_within: float
     push_factor: float
     push_span: float
-    soft: bool = False  # only DRAINING is binding; a missing entry is unconfirmed
+    soft_removal: bool = False  # only DRAINING is binding; a missing entry is unconfirmed
     full_may_have_run: bool = False  # workers shed begun work: 'full' does not prove that it never ran
     start_drift: float = 0.0  # ms by which a listed start may be off either way; the true one is binding
 
@@ -74,12 +74,12 @@
         """Whether a worker of this listed age may be cold, or was within the last span."""
         return age < self.start_drift + self.warm_within + self.push_span
 
-    def bears(self, age: float) -> float:
+    def share(self, age: float) -> float:
         """Least fraction of its capacity that a worker has at this age."""
         part = max(0.0, age - self.start_drift) / self.warm_within
         return min(1.0, self.cold_share + (1.0 - self.cold_share) * part)
 
-    def borne(self, age: float) -> float:
+    def share_sum(self, age: float) -> float:
         """Integral of that fraction up to this age, in ms at full capacity. The worker may have started at
         any time within the drift, and counts as cold from the latest."""
         late = max(0.0, age - self.start_drift)
@@ -89,7 +89,7 @@
         return flat * self.cold_share + ramp * (self.cold_share + grown) + late - ramp
 
 
-class Tariff(NamedTuple):
+class ProtocolLimits(NamedTuple):
     """Protocol limits and prices."""
 
     postings: int
@@ -100,7 +100,7 @@
     crossing: float
 
 
-class Terms(NamedTuple):
+class SchedulerConfig(NamedTuple):
     """Scheduler configuration. `waiting`, `handled`, `free_slots`: columns of the load report, -1 for none;
     `live_ratings`: a worker's rating falls with its load; `subscribes`: roster changes must be requested;
     `ask_within`: interval of requests to a roster service that all schedulers share, 0 where it is none."""
@@ -110,16 +110,16 @@
     zone: int
     schemes: tuple[Scheme, ...]
     accounts: tuple[Account, ...]
-    duties: Duties
-    tariff: Tariff
-    tells_start: bool
+    obligations: Obligations
+    limits: ProtocolLimits
+    start_known: bool
     progress: float
-    live: bool
-    follows: bool
+    live_ratings: bool
+    subscribes: bool
     ask_within: float
     waiting: int
     handled: int
     free_slots: int
-    tells: bool = False  # schedulers may send each other messages
+    notify_peers: bool = False  # schedulers may send each other messages
     punctual: bool = False  # SLA misses reduce the earnings of the others; earlier declines do not
     by_work: bool = False  # earnings are per unit of work, not per txn
--- a/sableford/model/effects.py
+++ b/sableford/model/effects.py
@@ -43,7 +43,7 @@
     worker: int
 
 
-class Tell(NamedTuple):
+class NotifyPeers(NamedTuple):
     """Send other schedulers this one's load at a worker, in slots."""
 
     peers: tuple[int, ...]
@@ -51,10 +51,10 @@
     slots: float
 
 
-class Follow(NamedTuple):
+class FetchRoster(NamedTuple):
     """Subscribe to roster changes, or if `once` fetch those so far; missed changes come first."""
 
     once: bool
 
 
-Effect = Post | CallOff | Decline | Reverse | Wake | Probe | Tell | Follow
+Effect = Post | CallOff | Decline | Reverse | Wake | Probe | NotifyPeers | FetchRoster
--- a/sableford/model/events.py
+++ b/sableford/model/events.py
@@ -4,7 +4,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from sableford.model.terms import Terms
+from sableford.model.config import SchedulerConfig
 
 
 class Ending(IntEnum):
@@ -21,7 +21,7 @@
     UNFIT = 8  # the worker rejects the request itself as invalid
 
 
-UNTOLD = (Ending.CALLED_OFF, Ending.TIMED_OUT)  # the worker sent no result
+SILENT = (Ending.CALLED_OFF, Ending.TIMED_OUT)  # the worker sent no result
 NEVER_RAN = frozenset({Ending.FULL, Ending.NO_CONNECTION, Ending.NOT_SENT})
 
 
@@ -33,7 +33,7 @@
     DRAINING = 2
 
 
-class Taken(NamedTuple):
+class TxnArrived(NamedTuple):
     """A txn has arrived; it must get exactly one final answer."""
 
     txn: int
@@ -70,7 +70,7 @@
     load: tuple[float, ...]
 
 
-class Lapsed(NamedTuple):
+class ClientLeft(NamedTuple):
     """The client has disconnected; no answer is needed."""
 
     txn: int
@@ -80,7 +80,7 @@
     """A requested wake-up is due."""
 
 
-class Sampled(NamedTuple):
+class Probed(NamedTuple):
     """The result of a probe."""
 
     worker: int
@@ -88,7 +88,7 @@
     load: tuple[float, ...]
 
 
-class Listed(NamedTuple):
+class RosterEntry(NamedTuple):
     """A roster entry; `since` is the worker's last start, 0 for long ago."""
 
     worker: int
@@ -97,18 +97,18 @@
     cell: int
     standing: Standing
     since: float
-    mark: int = 0  # hash of the worker's id, the same at all schedulers
+    id_hash: int = 0  # hash of the worker's id, the same at all schedulers
 
 
 class Roster(NamedTuple):
     """New or changed entries; a worker missing from a complete list is GONE. `rating` returns a worker's
     current weight in the list, 0 if there is none."""
 
-    lines: tuple[Listed, ...]
+    entries: tuple[RosterEntry, ...]
     rating: Callable[[int], float]
 
 
-class Heard(NamedTuple):
+class PeerUpdate(NamedTuple):
     """Another scheduler's current load at a worker, in slots."""
 
     peer: int
@@ -116,48 +116,48 @@
     slots: float
 
 
-class Banned(NamedTuple):
+class WorkerOverride(NamedTuple):
     """Operators took a worker out of service at that time, or (`out` false) returned it, cold."""
 
     worker: int
     out: bool
     at: float
 
-    def over(self, told: "Listed") -> "Listed":
+    def apply(self, entry: "RosterEntry") -> "RosterEntry":
         """Returns the roster entry with this override applied."""
         if not self.out:  # operators restarted it, whatever start is listed
-            return told._replace(since=max(told.since, self.at))
-        return told._replace(standing=Standing.DRAINING) if told.standing is Standing.READY else told
+            return entry._replace(since=max(entry.since, self.at))
+        return entry._replace(standing=Standing.DRAINING) if entry.standing is Standing.READY else entry
 
 
-class Amended(NamedTuple):
+class ConfigChanged(NamedTuple):
     """A new configuration; known schemes keep their indices, and open txns their old configuration."""
 
-    terms: Terms
+    config: SchedulerConfig
 
 
-class Turns(NamedTuple):
+class TurnsChanged(NamedTuple):
     """Whether this process, or another one of this scheduler, uses its turns at cold workers from now on."""
 
     ours: bool
 
 
-class Unfollowed(NamedTuple):
+class RosterFailed(NamedTuple):
     """A roster request failed, or the subscription ended."""
 
 
 Event = (
-    Taken
+    TxnArrived
     | Started
     | Progressed
     | Ended
-    | Lapsed
+    | ClientLeft
     | Woken
-    | Sampled
-    | Heard
+    | Probed
+    | PeerUpdate
     | Roster
-    | Banned
-    | Turns
-    | Amended
-    | Unfollowed
+    | WorkerOverride
+    | TurnsChanged
+    | ConfigChanged
+    | RosterFailed
 )
--- a/sableford/model/tally.py
+++ b/sableford/model/rates.py
@@ -3,7 +3,7 @@
 from math import exp
 
 
-class Tally:
+class DecayingSum:
     """An exponentially decaying sum, updated on read."""
 
     __slots__ = ("at", "memory", "sum")
@@ -19,16 +19,16 @@
         self.sum = self.read(now) + amount
 
 
-class Allowance:
-    """A token bucket: `rate` per second, at most `most` saved up."""
+class TokenBucket:
+    """A token bucket: `rate` per second, at most `burst` saved up."""
 
-    __slots__ = ("at", "most", "rate", "saved")
+    __slots__ = ("at", "burst", "rate", "tokens")
 
-    def __init__(self, now: float, rate: float, most: float, saved: float) -> None:
-        self.rate, self.most, self.at, self.saved = rate, most, now, saved
+    def __init__(self, now: float, rate: float, burst: float, tokens: float) -> None:
+        self.rate, self.burst, self.at, self.tokens = rate, burst, now, tokens
 
-    def takes(self, now: float) -> bool:
+    def take(self, now: float) -> bool:
         """Takes one token if there is one; returns whether there was."""
-        spare = min(self.most, self.saved + (now - self.at) * self.rate / 1000.0)
-        self.at, self.saved = now, spare - (spare >= 1.0)
-        return spare >= 1.0
+        available = min(self.burst, self.tokens + (now - self.at) * self.rate / 1000.0)
+        self.at, self.tokens = now, available - (available >= 1.0)
+        return available >= 1.0
--- a/sableford/model/ring.py
+++ b/sableford/model/ring.py
@@ -33,10 +33,10 @@
                 yield worker
 
 
-def party(number: int, members: int, size: int) -> tuple[int, ...]:
+def select_members(number: int, members: int, size: int) -> tuple[int, ...]:
     """Selects `size` of the members by a number.
 
-    >>> party(7, 4, 3), party(7, 4, 9)
+    >>> select_members(7, 4, 3), select_members(7, 4, 9)
     ((3, 2, 1), (3, 2, 1, 0))
     """
     step = 1 + number // members % max(1, members - 1)
--- a/sableford/model/state.py
+++ b/sableford/model/state.py
@@ -4,9 +4,9 @@
 from enum import IntEnum
 from math import exp
 
-from sableford.model.events import Listed, Standing, Taken
-from sableford.model.tally import Tally
-from sableford.model.terms import Terms
+from sableford.model.config import SchedulerConfig
+from sableford.model.events import RosterEntry, Standing, TxnArrived
+from sableford.model.rates import DecayingSum
 
 EXCESS_MEMORY = 2500.0  # ms: several reports, so that correct reports count again soon
 FLOW_MEMORY = 4000.0  # ms: decay of the count of sent postings, from which the expected wait is computed
@@ -20,7 +20,7 @@
 MAX_HISTORY = 2000  # load changes kept per worker: without reports they are never read
 State = IntEnum("State", "HELD SENT CLOSED")
 Rank = IntEnum("Rank", "SHARE BEYOND TARDY", start=0)  # within a tenant's share, beyond it, past the SLA time
-Input = IntEnum("Input", "ROOM LATE STALLED NEVER_RAN MAY_HAVE_RUN SETTLED LAPSED")
+Input = IntEnum("Input", "ROOM LATE STALLED NEVER_RAN MAY_HAVE_RUN SETTLED CLIENT_LEFT")
 
 
 class Run:
@@ -70,10 +70,10 @@
 class Worker:
     """A listed worker: its load estimate, own postings and measurements."""
 
-    def __init__(self, index: int, entry: Listed, kind: Kind) -> None:
+    def __init__(self, index: int, entry: RosterEntry, kind: Kind) -> None:
         self.index, self.zone, self.cell, self.kind = index, entry.zone, entry.cell, kind
         self.ready, self.since, self.in_subset = entry.standing is Standing.READY, entry.since, False
-        self.hash, self.listeners = entry.mark, ()
+        self.hash, self.listeners = entry.id_hash, ()
         self.postings: dict[tuple[int, int], Posting] = {}
         self.own = self.known = 0.0
         self.sent_at = 0.0  # time of the last posting
@@ -86,7 +86,7 @@
         self.last_report: tuple[float, ...] = ()
         self.others, self.as_of = -1.0, 0.0
         self.done, self.expected, self.pace, self.updated_at = 0.0, 0.0, 1.0, 0.0
-        self.excess = Tally(EXCESS_MEMORY)  # jobs beyond the estimate, by own queued postings
+        self.excess = DecayingSum(EXCESS_MEMORY)  # jobs beyond the estimate, by own queued postings
         self.errors, self.successes, self.health_at, self.last_seen = 0.0, 0.0, 0.0, 0.0
         self.has_queue = self.stalled = False
         self.suspect, self.probe_ok, self.probed_at = False, False, -1e12
@@ -120,10 +120,10 @@
         self.history.append((now, self.known))
         return change
 
-    def clear_peer_loads(self, queue_reported: bool) -> None:
+    def clear_peer_loads(self, queue_known: bool) -> None:
         """Drops all loads of other schedulers."""
         self.peer_slots.clear()
-        self.peer_total, self.known = 0.0, self.own if queue_reported else 0.0
+        self.peer_total, self.known = 0.0, self.own if queue_known else 0.0
         self.history.clear()
 
     def expire_peer_loads(self, now: float, life: float) -> None:
@@ -167,7 +167,7 @@
     def __init__(self, scheme: int, rank: int, run: Run) -> None:
         self.scheme, self.rank, self.run = scheme, rank, run
         self.entries: list[tuple[float, int]] = []
-        self.flow = Tally(FLOW_MEMORY)
+        self.flow = DecayingSum(FLOW_MEMORY)
 
     def wait(self, now: float) -> float:
         """Expected time until all held txns are sent, by the recent flow."""
@@ -193,11 +193,11 @@
 
 
 class Txn:
-    def __init__(self, taken: Taken, terms: Terms, limit: float, rank: int) -> None:
-        self.taken, self.limit, self.rank = taken, limit, rank
+    def __init__(self, spec: TxnArrived, config: SchedulerConfig, limit: float, rank: int) -> None:
+        self.spec, self.limit, self.rank = spec, limit, rank
         # Those at arrival: looked up by index later, a changed file gave it another scheme's settings.
-        self.scheme, self.postings = terms.schemes[taken.scheme], terms.tariff.postings
-        self.start_by, self.moved = taken.expiry, False
+        self.scheme, self.postings = config.schemes[spec.scheme], config.limits.postings
+        self.start_by, self.moved = spec.expiry, False
         self.state, self.posted = State.HELD, 0
         self.in_flight: dict[int, Posting] = {}
         self.origin: Posting | None = None  # the first posting that may have run
--- a/sableford/net/berth.py
+++ b/sableford/net/berth.py
@@ -15,7 +15,7 @@
 
 from sableford.common.serial_executor import SerialExecutor
 from sableford.fleet.seat import Seat, read_seat
-from sableford.intake.charter import Charter, amended, read_charter
+from sableford.intake.scheduler_settings import SchedulerSettings, merge_settings, parse_settings
 from sableford.net import wire
 from sableford.net.limits import Limits, granted
 from sableford.net.log import Log
@@ -29,7 +29,7 @@
     console: tuple[str, int] | None  # the operators' door, if any
     seed: str
     known: bytes
-    charter: Charter
+    charter: SchedulerSettings
     limits: Limits
     granted: tuple[int, float]  # sockets and memory, of all processes of this scheduler together
     filed: tuple[tuple[str, int] | None, ...]  # where to listen, discovery and the console by the file alone
@@ -40,7 +40,7 @@
     def shared(self, processes: int) -> Limits:
         """What one process has of what is granted to all of them."""
         sockets, memory = (size / processes for size in self.granted)
-        idle, connect = self.charter.idle, self.charter.connect
+        idle, connect = self.charter.idle_timeout, self.charter.connect_timeout
         return granted(int(sockets), memory, idle, connect, self.console is not None)
 
 
@@ -110,7 +110,7 @@
                 continue
             # By the file alone: the variables name what was true at start.
             moved = read.filed[1] != last.filed[1]
-            charter = amended(now.charter, read.charter)
+            charter = merge_settings(now.charter, read.charter)
             discovery = read.filed[1] if moved else now.discovery
             told = Renew(read.shared(self._processes), discovery, charter, read.peers)
             fixed = [
@@ -120,11 +120,11 @@
                     ("listen", read.filed[0] != berth.filed[0]),
                     ("console", read.filed[2] != berth.filed[2]),
                     ("fleet", read.fleet != berth.fleet),
-                    ("registry_mode", read.charter.terms.ask_within != charter.terms.ask_within),
+                    ("registry_mode", read.charter.config.ask_within != charter.config.ask_within),
                 )
                 if differs
             ]
-            schemes = sorted(charter.taken)
+            schemes = sorted(charter.accepted_schemes)
             facts = {"discovery": told.discovery, "lines": told.limits.lines, "schemes": schemes}
             self._log.say("reloaded", **facts, settings=charter != now.charter, restart_for=fixed)
             if told != now:
@@ -158,11 +158,11 @@
     except msgspec.MsgspecError as problem:
         raise ValueError(f"{path}: {problem}") from problem
     try:
-        charter = read_charter(text.settings)
+        charter = parse_settings(text.settings)
     except ValueError as problem:
         raise ValueError(f"{path}: {problem}") from problem
     try:
-        peers = _peers(text.peers, charter) if charter.terms.tells else ()
+        peers = _peers(text.peers, charter) if charter.config.notify_peers else ()
     except ValueError as problem:
         raise ValueError(f"{path}: peers: {problem}") from problem
     peers = peers if talk else ()
@@ -172,9 +172,9 @@
         raise ValueError(f"{path}: {problem}") from problem
     # In a fleet the words of the decisions go with the fleet's own, where the settings allow any.
     spoken = bool(peers) or (
-        seat is not None and charter.terms.tells and len(seat.peers) == charter.terms.schedulers
+        seat is not None and charter.config.notify_peers and len(seat.peers) == charter.config.schedulers
     )
-    charter = charter._replace(terms=charter.terms._replace(tells=spoken))
+    charter = charter._replace(config=charter.config._replace(notify_peers=spoken))
     try:
         wire.listing(text.known, charter)
     except msgspec.MsgspecError as problem:
@@ -188,7 +188,7 @@
                 raise ValueError(f"{path}: {field}: {problem}") from problem
     listen, discovery, console = places
     size = text.limits.sockets, text.limits.memory_mb
-    limits = granted(*size, charter.idle, charter.connect, console is not None)
+    limits = granted(*size, charter.idle_timeout, charter.connect_timeout, console is not None)
     known = bytes(text.known)
     keys = frozenset(_paths(msgspec.json.decode(whole) | {"known": None}, ""))
     return Berth(
@@ -197,9 +197,9 @@
     )
 
 
-def _peers(given: list[str], charter: Charter) -> tuple[tuple[str, int], ...]:
+def _peers(given: list[str], charter: SchedulerSettings) -> tuple[tuple[str, int], ...]:
     """The schedulers' addresses by position; none at all is a fleet whose members don't know each other."""
-    places, terms = tuple(map(wire.address, given)), charter.terms
+    places, terms = tuple(map(wire.address, given)), charter.config
     if places and len(places) != terms.schedulers:
         raise ValueError(f"{len(places)} addresses for {terms.schedulers} instances")
     for host, _ in places:
--- a/sableford/net/cli.py
+++ b/sableford/net/cli.py
@@ -65,7 +65,7 @@
     if kept is not None and (later := inherited(kept.listing, charter, log)) is not None:
         first, revision = later, None
     roster = Roster(berth.discovery, revision, limits, charter, log)
-    peers = Peers(berth.peers, charter.terms.position, limits, log)
+    peers = Peers(berth.peers, charter.config.position, limits, log)
     doors = Mailbox()
     one = joined(berth.fleet, berth.seed, clock, limits, log, doors) if berth.fleet is not None else None
     spoken = one.mail if one is not None else peers.mail
@@ -189,10 +189,10 @@
     click.echo(f"{berth.name} listens on {berth.listen[0]}:{berth.listen[1]}")
     if berth.console is not None:
         click.echo(f"operators call {berth.console[0]}:{berth.console[1]}")
-    click.echo(f"schemes: {', '.join(charter.schemes)}; schedulers: {charter.terms.schedulers}")
+    click.echo(f"schemes: {', '.join(charter.schemes)}; schedulers: {charter.config.schedulers}")
     if berth.peers:
         click.echo(
-            f"speaks to {len(berth.peers) - 1} peers, listens on {berth.peers[charter.terms.position]}"
+            f"speaks to {len(berth.peers) - 1} peers, listens on {berth.peers[charter.config.position]}"
         )
     if berth.fleet is not None:
         place = berth.fleet.peers[berth.fleet.name]
--- a/sableford/net/client.py
+++ b/sableford/net/client.py
@@ -277,7 +277,7 @@
             raise Malformed(405, "method")
         if not wire.sensible_id(told.get(wire.ID, b"")):
             raise Malformed(400, "no sensible id")
-        if told.get(wire.SCHEME, b"").decode("latin-1") not in self._charter.taken:
+        if told.get(wire.SCHEME, b"").decode("latin-1") not in self._charter.accepted_schemes:
             raise Malformed(400, "unknown class")
         left = wire.time_left(told.get(wire.TIME_LEFT, b""))
         if left is None or not 0.0 < left <= self._limits.longest:
--- a/sableford/net/desk.py
+++ b/sableford/net/desk.py
@@ -10,35 +10,35 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from sableford import legacy
-from sableford.intake.charter import Charter
-from sableford.intake.door import Door, Sheet
-from sableford.legacy import Legacy
+from sableford import learned_state
+from sableford.intake.index_table import IndexTable, WorkerList
+from sableford.intake.scheduler_settings import SchedulerSettings
+from sableford.learned_state import LearnedState
 from sableford.model import (
-    Amended,
-    Banned,
     CallOff,
+    ClientLeft,
+    ConfigChanged,
     Decline,
     Ended,
     Ending,
     Event,
-    Follow,
-    Heard,
-    Lapsed,
+    FetchRoster,
+    NotifyPeers,
+    PeerUpdate,
     Post,
     Probe,
+    Probed,
     Progressed,
     Reverse,
     Roster,
-    Sampled,
+    RosterFailed,
     Standing,
     Started,
-    Taken,
-    Tell,
-    Turns,
-    Unfollowed,
+    TurnsChanged,
+    TxnArrived,
     Wake,
     Woken,
+    WorkerOverride,
 )
 from sableford.net import wire
 from sableford.net.limits import Limits
@@ -79,7 +79,7 @@
 class Desk:
     def __init__(
         self,
-        charter: Charter,
+        charter: SchedulerSettings,
         seed: str,
         roster: Mailbox,
         clock: Clock,
@@ -99,7 +99,7 @@
         self._rules: dict[str, Rule] = {}  # the last word by hand on each worker
         self._ours = True  # the turns at cold workers
         self._heir: Mailbox | None = None  # the handover, where there is one
-        self._legacy: Legacy | None = None  # of the process before, until the first list
+        self._legacy: LearnedState | None = None  # of the process before, until the first list
         self._left_at = 0.0  # when the own was told last
         self._heard = {
             Request: self._took,
@@ -115,7 +115,7 @@
             Stale: self._pass_on,
             Word: self._overheard,
             _Died: self._mourn,
-            Unheard: lambda message: self._tell(Unfollowed()),
+            Unheard: lambda message: self._tell(RosterFailed()),
         }
         self._acts = {
             Post: self._post,
@@ -123,14 +123,14 @@
             Decline: self._decline,
             Reverse: self._reverse,
             Wake: lambda effect: heappush(self._wakes, self._now + effect.after),
-            Follow: self._roster_mail,
+            FetchRoster: self._roster_mail,
             Probe: self._probe,
-            Tell: self._say,
+            NotifyPeers: self._say,
         }
         self._now = self._traced = clock.now()
         self._begin()
 
-    def inherit(self, heir: Mailbox, legacy: Legacy | None) -> None:
+    def inherit(self, heir: Mailbox, legacy: LearnedState | None) -> None:
         """Before it runs: whom to tell what was learned, and what the process before had."""
         self._heir, self._legacy = heir, legacy
 
@@ -138,15 +138,17 @@
         """Told now and then, so that a kill costs the next process a second of it at most."""
         self._left_at = self._now
         listing = wire.listed(self._latest.values(), self._places, self._charter)
-        self._heir.put(Kept(listing, legacy.left_by(self._core, self._door.worker_ids, self._charter)))
+        self._heir.put(
+            Kept(listing, learned_state.export_state(self._core, self._door.worker_ids, self._charter))
+        )
 
     def _begin(self) -> None:
         """A module that knows nothing yet."""
         seed = crc32(b"%s:%d" % (self._seed.encode(), self._starts))
         self._starts += 1
         # On sockets the list always has to be asked for, once or over and over.
-        self._core = Scheduler(self._charter.terms._replace(follows=True), seed)
-        self._door = Door()
+        self._core = Scheduler(self._charter.config._replace(subscribes=True), seed)
+        self._door = IndexTable()
         self._posted: dict[Request, list[str]] = {}  # the workers of its postings, by number
         self._ids: set[bytes] = set()
         self._wakes: list[float] = []
@@ -214,10 +216,10 @@
                 raise
             self._begin()
             self._now = self._clock.now()
-            self._tell(Turns(self._ours))
+            self._tell(TurnsChanged(self._ours))
             for rule in self._rules.values():  # before the list, lest a worker that is out seem ready
-                self._tell(Banned(self._door.index(rule.worker), rule.out, rule.at))
-            self._tell(self._door.roster(Sheet(list(self._latest.values())), True))
+                self._tell(WorkerOverride(self._door.worker_index(rule.worker), rule.out, rule.at))
+            self._tell(self._door.roster_update(WorkerList(list(self._latest.values())), True))
 
     def _reverse_all(self) -> None:
         """As after a kill, but that what was taken is answered: reversed, which promises nothing."""
@@ -235,47 +237,47 @@
             return
         self._ids.add(request.id)
         self._posted[request] = []
-        txn = self._door.take(request)
+        txn = self._door.add_txn(request)
         needs = request.slots, request.work
-        self._tell(Taken(txn, request.scheme, 0, request.expiry, *needs))
+        self._tell(TxnArrived(txn, request.scheme, 0, request.expiry, *needs))
 
     def _gone(self, message: Gone) -> None:
-        if (txn := self._door.txn(message.request)) is not None:
-            self._door.over(txn)
-            self._tell(Lapsed(txn))
+        if (txn := self._door.find_txn(message.request)) is not None:
+            self._door.close_txn(txn)
+            self._tell(ClientLeft(txn))
             self._forget(message.request)
 
     def _began(self, message: Began) -> None:
-        if (txn := self._door.txn(message.request)) is not None:
+        if (txn := self._door.find_txn(message.request)) is not None:
             self._tell(Started(txn, message.posting))
 
     def _moved(self, message: Moved) -> None:
-        if (txn := self._door.txn(message.request)) is not None:
+        if (txn := self._door.find_txn(message.request)) is not None:
             self._tell(Progressed(txn, message.posting, message.share))
 
     def _back(self, message: Back) -> None:
         request = message.request
-        if (txn := self._door.txn(request)) is None:
+        if (txn := self._door.find_txn(request)) is None:
             return
-        settled, over = message.ending is Ending.SETTLED, self._door.is_over(txn)
+        settled, over = message.ending is Ending.SETTLED, self._door.is_closed(txn)
         if settled and not over:
             request.client.put(Settle(request, message.result))
         if self._log.each_txn:
             worker = self._posted[request][message.posting]
             self._log.say("back", id=request.id, worker=worker, ending=message.ending.name, load=message.load)
         closed = settled or over
-        self._door.back(txn, closed)
+        self._door.posting_ended(txn, closed)
         self._tell(Ended(txn, message.posting, message.ending, closed, message.load))
         self._forget(request)
 
     def _looked(self, message: Looked) -> None:
-        if (worker := self._door.worker(message.worker)) is not None:
-            self._tell(Sampled(worker, message.answered, message.load))
+        if (worker := self._door.find_worker(message.worker)) is not None:
+            self._tell(Probed(worker, message.answered, message.load))
 
     def _overheard(self, message: Word) -> None:
         # Switched off, what others still say is passed over.
-        if self._charter.terms.tells and (word := self._door.heard(message.word)) is not None:
-            self._tell(Heard(message.peer, *word))
+        if self._charter.config.notify_peers and (word := self._door.decode_load(message.word)) is not None:
+            self._tell(PeerUpdate(message.peer, *word))
 
     def _told(self, message: Told) -> None:
         """The list goes to the module first, so that a drain is known before the next posting."""
@@ -299,9 +301,11 @@
             if (before and (before[4], before[6])) != (after and (after[4], after[6])):
                 standing, since = (after[4], after[6]) if after else (0, 0.0)
                 self._log.say("worker", worker=worker, standing=standing, since=since)
-        self._tell(self._door.roster(sheet, message.complete))
+        self._tell(self._door.roster_update(sheet, message.complete))
         if self._legacy is not None:
-            legacy.teach(self._core, self._legacy, self._door.worker, self._charter, self._now)
+            learned_state.restore_state(
+                self._core, self._legacy, self._door.find_worker, self._charter, self._now
+            )
             self._legacy = None
 
     def _settle(self, worker: str, place: Place) -> None:
@@ -319,11 +323,11 @@
         self._rules[rule.worker] = rule
         if (place := self._places.get(rule.worker)) is not None:
             self._settle(rule.worker, place)
-        self._tell(Banned(self._door.index(rule.worker), rule.out, rule.at))
+        self._tell(WorkerOverride(self._door.worker_index(rule.worker), rule.out, rule.at))
 
     def _turn(self, message: Turn) -> None:
         self._ours = message.ours
-        self._tell(Turns(message.ours))
+        self._tell(TurnsChanged(message.ours))
 
     def _allot(self) -> None:
         lines = max(1, self._limits.lines // max(1, len(self._latest)))
@@ -334,7 +338,7 @@
         self._limits = message.limits
         if message.charter != self._charter:
             self._charter = message.charter
-            self._tell(Amended(message.charter.terms._replace(follows=True)))
+            self._tell(ConfigChanged(message.charter.config._replace(subscribes=True)))
         for worker in self._workers.values():
             worker.mail.put(message)
         self._allot()
@@ -369,7 +373,7 @@
     def _post(self, effect: Post) -> None:
         request = self._door.txn_ids[effect.txn]
         name = self._door.worker_ids[effect.worker]
-        self._door.posted(effect.txn)
+        self._door.posting_sent(effect.txn)
         workers = self._posted[request]
         if self._log.each_txn:
             self._log.say("post", id=request.id, worker=name, number=len(workers))
@@ -393,21 +397,21 @@
         if self._log.each_txn:
             self._log.say("answer", id=request.id, answer=type(answer).__name__)
         request.client.put(answer)
-        self._door.over(txn)
+        self._door.close_txn(txn)
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
         """Over and nothing out: its id may come again."""
-        if self._door.txn(request) is None and request in self._posted:
+        if self._door.find_txn(request) is None and request in self._posted:
             del self._posted[request]
             self._ids.discard(request.id)
 
-    def _roster_mail(self, effect: Follow) -> None:
+    def _roster_mail(self, effect: FetchRoster) -> None:
         self._roster.put(effect)
 
-    def _say(self, effect: Tell) -> None:
+    def _say(self, effect: NotifyPeers) -> None:
         if self._peers is not None:
-            self._peers.put(Say(effect.peers, self._door.word(effect.worker, effect.slots)))
+            self._peers.put(Say(effect.peers, self._door.encode_load(effect.worker, effect.slots)))
 
     def _probe(self, effect: Probe) -> None:
         self._workers[self._door.worker_ids[effect.worker]].mail.put(Look())
--- a/sableford/net/gate.py
+++ b/sableford/net/gate.py
@@ -8,7 +8,7 @@
 import socket
 from collections import Counter
 
-from sableford.intake.charter import Charter
+from sableford.intake.scheduler_settings import SchedulerSettings
 from sableford.net.client import Client
 from sableford.net.gate_messages import Busy, Closed, Lingering, Resting, Turned, Want, Whole
 from sableford.net.limits import Limits
@@ -20,7 +20,13 @@
     """Accepts connections within the limit, makes room in it, and closes the door at the end."""
 
     def __init__(
-        self, listener: socket.socket, desk: Mailbox, clock: Clock, limits: Limits, charter: Charter, log: Log
+        self,
+        listener: socket.socket,
+        desk: Mailbox,
+        clock: Clock,
+        limits: Limits,
+        charter: SchedulerSettings,
+        log: Log,
     ) -> None:
         self.mail, self.desk, self.clock = Mailbox(), desk, clock
         self.limits, self.charter, self.log = limits, charter, log
--- a/sableford/net/mail.py
+++ b/sableford/net/mail.py
@@ -8,9 +8,9 @@
 from collections import deque
 from typing import Any, NamedTuple
 
-from sableford.intake.charter import Charter
-from sableford.intake.door import Sheet
-from sableford.legacy import Legacy
+from sableford.intake.index_table import WorkerList
+from sableford.intake.scheduler_settings import SchedulerSettings
+from sableford.learned_state import LearnedState
 from sableford.model import Ending
 from sableford.net.limits import Limits
 
@@ -140,7 +140,7 @@
 class Told(NamedTuple):
     """Lines of the list, all of them where `complete`, and where each worker listens."""
 
-    sheet: Sheet
+    sheet: WorkerList
     complete: bool
     addresses: dict[str, tuple[str, int]]
 
@@ -171,7 +171,7 @@
 
     limits: Limits
     discovery: tuple[str, int]
-    charter: Charter
+    charter: SchedulerSettings
     peers: tuple[tuple[str, int], ...] = ()  # the schedulers by position, where they may be spoken to
 
 
@@ -203,7 +203,7 @@
     """What the desk knows, for the next process: the list in its words, and what the module learned."""
 
     listing: bytes
-    legacy: Legacy
+    legacy: LearnedState
 
 
 # To the keeper
@@ -286,7 +286,7 @@
 class Amend(NamedTuple):
     """Other settings: for the next request."""
 
-    charter: Charter
+    charter: SchedulerSettings
 
 
 class Shut(NamedTuple):
--- a/sableford/net/pact.py
+++ b/sableford/net/pact.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from sableford.legacy import Legacy
+from sableford.learned_state import LearnedState
 from sableford.net.mail import Rule
 
 FORMAT = 1  # of a word; another one's is not read
@@ -32,7 +32,7 @@
     holds: bool  # the turns at cold workers
     rules: dict[str, tuple[bool, float]] = {}
     listing: msgspec.Raw = msgspec.Raw(b"null")
-    legacy: Legacy = msgspec.field(default_factory=Legacy)
+    legacy: LearnedState = msgspec.field(default_factory=LearnedState)
 
 
 class Other(NamedTuple):
--- a/sableford/net/peers.py
+++ b/sableford/net/peers.py
@@ -46,7 +46,7 @@
                     self._renew(message)
 
     def _renew(self, told: Renew) -> None:
-        now = told.peers, told.charter.terms.position
+        now = told.peers, told.charter.config.position
         if now != (self._places, self._position):
             if self._line is not None:
                 self._line.close()
--- a/sableford/net/roster.py
+++ b/sableford/net/roster.py
@@ -9,8 +9,8 @@
 import h11
 import msgspec
 
-from sableford.intake.charter import Charter
-from sableford.model import Follow
+from sableford.intake.scheduler_settings import SchedulerSettings
+from sableford.model import FetchRoster
 from sableford.net import wire
 from sableford.net.http import Peer, dial
 from sableford.net.limits import Limits
@@ -24,7 +24,12 @@
 
 class Roster:
     def __init__(
-        self, address: tuple[str, int], revision: int | None, limits: Limits, charter: Charter, log: Log
+        self,
+        address: tuple[str, int],
+        revision: int | None,
+        limits: Limits,
+        charter: SchedulerSettings,
+        log: Log,
     ) -> None:
         self.mail = Mailbox()
         self._address, self._limits, self._charter, self._log = address, limits, charter, log
@@ -38,7 +43,7 @@
         while True:
             for message in await self.mail.take():
                 match message:
-                    case Follow() if watch is None or watch.done():
+                    case FetchRoster() if watch is None or watch.done():
                         watch = asyncio.create_task(self._follow(desk))
                     case Renew(limits, address, charter):
                         self._limits, self._charter = limits, charter
@@ -64,7 +69,7 @@
         """One watch to its end, which is told; just moved, it is tried anew until the address is up."""
         while True:
             try:
-                await self._watch(desk, self._charter.terms.ask_within > 0.0)
+                await self._watch(desk, self._charter.config.ask_within > 0.0)
                 return
             except Exception as problem:
                 self._hang_up()
@@ -128,7 +133,7 @@
         return bytes(body)
 
 
-def inherited(text: bytes, charter: Charter, log: Log) -> Told | None:
+def inherited(text: bytes, charter: SchedulerSettings, log: Log) -> Told | None:
     """The list that the process before left; none where it makes no sense or is empty."""
     try:
         listing = wire.listing(text, charter)
@@ -138,7 +143,7 @@
     return Told(listing.sheet, True, listing.addresses) if listing.addresses else None
 
 
-def first_list(text: bytes, charter: Charter, log: Log) -> tuple[Told, int | None]:
+def first_list(text: bytes, charter: SchedulerSettings, log: Log) -> tuple[Told, int | None]:
     """The list as this scheduler last had it; it may be old, so its version is kept only where each answer
     costs a service that all share, and the whole list three times what has changed."""
     try:
@@ -147,5 +152,5 @@
         raise ValueError(f"known: {problem}") from problem
     for why in listing.senseless:
         log.say("senseless_line", why=why)
-    kept = charter.terms.ask_within > 0.0 and listing.complete and len(listing.addresses) > 0
+    kept = charter.config.ask_within > 0.0 and listing.complete and len(listing.addresses) > 0
     return Told(listing.sheet, True, listing.addresses), listing.revision if kept else None
--- a/sableford/net/wire.py
+++ b/sableford/net/wire.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from sableford.intake.charter import Charter
-from sableford.intake.door import Sheet
+from sableford.intake.index_table import WorkerList
+from sableford.intake.scheduler_settings import SchedulerSettings
 
 ID, SCHEME, TIME_LEFT, FACTS = b"x-correlation-id", b"x-service-class", b"x-time-left", b"x-facts"
 LENGTH, CODING = b"content-length", b"transfer-encoding"
@@ -180,7 +180,7 @@
 class Listing(NamedTuple):
     revision: int
     complete: bool
-    sheet: Sheet
+    sheet: WorkerList
     addresses: dict[str, tuple[str, int]]
     senseless: tuple[str, ...]  # lines passed over, and why
 
@@ -200,7 +200,7 @@
     return host.strip("[]"), int(port)
 
 
-def listed(lines: Iterable[tuple], places: dict, charter: Charter) -> bytes:
+def listed(lines: Iterable[tuple], places: dict, charter: SchedulerSettings) -> bytes:
     """A list in discovery's words, of lines as a sheet has them and where each worker listens."""
     phases = {standing: phase for phase, standing in STANDINGS.items()}
     members = [
@@ -219,7 +219,7 @@
     return msgspec.json.encode({"revision": 0, "complete": True, "members": members})
 
 
-def listing(text: bytes, charter: Charter) -> Listing:
+def listing(text: bytes, charter: SchedulerSettings) -> Listing:
     """A list as discovery words it; a senseless line is passed over, the rest counts."""
     given = _listing(text)
     entries, addresses, senseless = [], {}, []
@@ -233,4 +233,4 @@
             senseless.append(f"{type(problem).__name__}: {problem}")
             continue
         entries.append((line.id, zone, kind, line.cell, standing, line.size, line.up_since_ms / 1000.0))
-    return Listing(given.revision, given.complete, Sheet(entries), addresses, tuple(senseless))
+    return Listing(given.revision, given.complete, WorkerList(entries), addresses, tuple(senseless))
--- a/sableford/net/workers.py
+++ b/sableford/net/workers.py
@@ -11,7 +11,7 @@
 import h11
 import msgspec
 
-from sableford.intake.charter import Charter
+from sableford.intake.scheduler_settings import SchedulerSettings
 from sableford.model import Ending
 from sableford.net import wire
 from sableford.net.http import Peer, dial
@@ -46,7 +46,7 @@
     """One worker as this scheduler sees it."""
 
     def __init__(
-        self, name: str, desk: Mailbox, clock: Clock, limits: Limits, charter: Charter, log: Log
+        self, name: str, desk: Mailbox, clock: Clock, limits: Limits, charter: SchedulerSettings, log: Log
     ) -> None:
         self.name, self.mail = name, Mailbox()
         self._desk, self._clock, self._limits, self._charter, self._log = desk, clock, limits, charter, log
@@ -236,7 +236,7 @@
         except h11.RemoteProtocolError:
             return DOUBT
         facts = dict(answer.headers)
-        load = wire.load(wire.pairs(facts.get(wire.LOAD, b"")), self._charter.figures)
+        load = wire.load(wire.pairs(facts.get(wire.LOAD, b"")), self._charter.load_columns)
         unstarted = answer.status_code in (503, 504) and facts.get(wire.NOT_RUN) == b"1"
         # What bad clients sent counted as its worker's fault, and took sound workers out.
         unfit = 400 <= answer.status_code < 500
@@ -274,13 +274,13 @@
                 self._desk.put(Moved(carry.request, carry.posting, word.share))
                 return None
             case wire.DONE if body is not None:
-                return Ending.SETTLED, word.figures(self._charter.figures), body
+                return Ending.SETTLED, word.figures(self._charter.load_columns), body
             case wire.FAILED:
-                return Ending.ERROR, word.figures(self._charter.figures), b""
+                return Ending.ERROR, word.figures(self._charter.load_columns), b""
             case wire.RETURNED:
-                return Ending.FULL, word.figures(self._charter.figures), b""
+                return Ending.FULL, word.figures(self._charter.load_columns), b""
             case wire.LOST:
-                return Ending.BROKEN, word.figures(self._charter.figures), b""
+                return Ending.BROKEN, word.figures(self._charter.load_columns), b""
         return DOUBT
 
     async def _ended(self, line: Peer) -> bool:
@@ -298,7 +298,7 @@
     async def _look(self, turn: asyncio.Future) -> None:
         """One probe."""
         place, load, answered, line, kept = self._place, (), False, None, None
-        path = wire.LOAD_PATH if self._charter.figures else wire.HEALTH
+        path = wire.LOAD_PATH if self._charter.load_columns else wire.HEALTH
         try:
             async with asyncio.timeout(self._limits.probe / 1000.0):
                 line = await turn
@@ -310,7 +310,7 @@
                     while isinstance(event := await line.event(), h11.Data) and len(body) < self._limits.body:
                         body += bytes(event.data)
                     answered = isinstance(answer, h11.Response) and answer.status_code == 200
-                    load = wire.report(body, self._charter.figures)
+                    load = wire.report(body, self._charter.load_columns)
                     kept = line if line.next_cycle() else _dropped(line)
         except (OSError, h11.ProtocolError, _Undone):
             kept = _dropped(line or _granted(turn))
--- a/sableford/policy/postings.py
+++ b/sableford/policy/dispatch.py
@@ -1,12 +1,12 @@
 """Accepts txns, dispatches them, and supervises the postings in flight."""
 
 from sableford.model import Repeats, events
-from sableford.model.effects import Follow, Post, Probe
-from sableford.model.events import Taken
+from sableford.model.effects import FetchRoster, Post, Probe
+from sableford.model.events import TxnArrived
 from sableford.model.state import Input, Posting, Rank, State, Txn, TxnQueue, Worker
-from sableford.policy.bound import AGE_LIMIT
-from sableford.policy.choice import Choice
-from sableford.policy.ledger import EXPIRY_MARGIN, MAX_WAIT_PART
+from sableford.policy.local_bound import AGE_LIMIT
+from sableford.policy.scheduler_state import EXPIRY_MARGIN, MAX_WAIT_PART
+from sableford.policy.worker_selection import WorkerSelection
 
 TRIAL_GAP = 500.0  # ms between trial txns at a suspect, where probes are not allowed
 QUEUED_EXCESS = 1.0  # jobs added to a worker's estimate for each posting that was queued there
@@ -19,19 +19,19 @@
 LATE = 1.0  # mean runs: a txn not begun by the SLA time of such a run is called off; most are late then
 
 
-class Postings(Choice):
-    def _taken(self, now: float, event: Taken) -> None:
-        scheme = self.terms.schemes[event.scheme]
+class Dispatch(WorkerSelection):
+    def _txnarrived(self, now: float, event: TxnArrived) -> None:
+        scheme = self.config.schemes[event.scheme]
         typical = event.work or MEDIAN_RUN * self.runs[event.scheme].mean()
         max_wait = scheme.sla + max(0.0, scheme.stretch - 1.0) * typical
         limit = min(now + max_wait, event.expiry - EXPIRY_MARGIN)
         rank = Rank.BEYOND if self._beyond_share(now, event.account) else Rank.SHARE
-        txn = self.txns[event.txn] = Txn(event, self.terms, limit, rank)
+        txn = self.txns[event.txn] = Txn(event, self.config, limit, rank)
         # Clients retry the others at once, and where a call-off stops nothing, each ran several times.
-        if self.terms.tells_start and scheme.repeats is Repeats.ONCE_ONLY:
+        if self.config.start_known and scheme.repeats is Repeats.ONCE_ONLY:
             txn.start_by = now + scheme.sla + max(0.0, scheme.stretch - 1.0) * LATE * typical / MEDIAN_RUN
         # Where misses are counted, a decline within the SLA time is none; a later start is one.
-        elif self.terms.punctual and scheme.repeats is Repeats.REPEATABLE:
+        elif self.config.punctual and scheme.repeats is Repeats.REPEATABLE:
             txn.start_by = limit
         if event.key:
             self._count_key(now, event.key)
@@ -54,12 +54,12 @@
                 _, index = queue.entries[at]
                 txn = self.txns[index]
                 # Without this, full workers cost nine scans of the subset for each finish.
-                signature = (txn.scheme.repeats, txn.scheme.kind, self._need(txn), txn.taken.key)
+                signature = (txn.scheme.repeats, txn.scheme.kind, self._need(txn), txn.spec.key)
                 worker = self._choose(now, txn) if signature not in full else None
                 if worker is None:
                     if not txn.posted:
                         full.add(signature)
-                    at = at + 1 if txn.taken.key else len(queue.entries)
+                    at = at + 1 if txn.spec.key else len(queue.entries)
                     continue
                 queue.entries.pop(at)
                 self.held -= 1
@@ -68,13 +68,13 @@
 
     def _value(self, queue: TxnQueue) -> float:
         """Earnings per running millisecond; less beyond a tenant's share and past the SLA time."""
-        scheme = self.terms.schemes[queue.scheme]
-        part = (1.0, self.terms.tariff.overage, scheme.tardy)[queue.rank]
-        return scheme.earnings * part / (1.0 if self.terms.by_work else queue.run.mean())
+        scheme = self.config.schemes[queue.scheme]
+        part = (1.0, self.config.limits.overage, scheme.tardy)[queue.rank]
+        return scheme.earnings * part / (1.0 if self.config.by_work else queue.run.mean())
 
     def _post(self, now: float, index: int, txn: Txn) -> None:
         worker, need = self.selected, self._need(txn)
-        posting = Posting(worker, txn.taken.scheme, need, now)
+        posting = Posting(worker, txn.spec.scheme, need, now)
         worker.postings[index, txn.posted] = txn.in_flight[txn.posted] = posting
         self.active[worker.index], worker.sent_at, worker.probe_ok = worker, now, False
         self.unstarted, self.in_use = self.unstarted + 1, self.in_use + need
@@ -84,7 +84,7 @@
         txn.origin = txn.origin or posting
         worker.own += need
         self._notify(worker, now)
-        if self.queue_reported:
+        if self.queue_known:
             worker.change_known(need, now)
         if self._is_cold(worker.since, now):
             worker.sends.append((now, self._cost(txn)))
@@ -96,19 +96,19 @@
             worker.turn = turn + int(worker.debt) * self.senders
             worker.debt %= 1.0
         self._queue(txn).flow.add(now)
-        self.effects.append(Post(index, worker.index, txn.taken.expiry))
+        self.effects.append(Post(index, worker.index, txn.spec.expiry))
 
-    def _lapsed(self, now: float, event: events.Lapsed) -> None:
+    def _clientleft(self, now: float, event: events.ClientLeft) -> None:
         txn = self.txns.get(event.txn)
         if txn is not None:
             if txn.state is State.HELD:
                 self._dequeue(event.txn, txn)
-            self._step(now, event.txn, Input.LAPSED)
+            self._step(now, event.txn, Input.CLIENT_LEFT)
 
     def _check_queue(self, worker: Worker, now: float) -> None:
         """An own posting not begun within a round trip is queued: the worker has no room."""
         worker.has_queue = False
-        for posting in worker.postings.values() if self.terms.tells_start else ():
+        for posting in worker.postings.values() if self.config.start_known else ():
             if posting.overdue(now):
                 worker.has_queue = True
                 if not (posting.queued or self.notifies or worker.index in self.cold):
@@ -117,7 +117,7 @@
 
     def _probe_suspects(self, now: float) -> None:
         """Tests whether suspects are back: by a probe or, where not allowed, by one txn."""
-        probes = self.terms.tariff.probes
+        probes = self.config.limits.probes
         for index, worker in list(self.suspects.items()):
             if not worker.suspect or index not in self.listed:
                 worker.suspect = False
@@ -130,8 +130,8 @@
     def _woken(self, now: float, event: events.Woken) -> None:
         if self.fetch_at and now >= self.fetch_at:
             self.fetch_at = 0.0
-            self.effects.append(Follow(once=self.terms.ask_within > 0.0))
-        max_silence = self.terms.progress and self.terms.progress * STALL_GAPS + STALL_SLACK
+            self.effects.append(FetchRoster(once=self.config.ask_within > 0.0))
+        max_silence = self.config.progress and self.config.progress * STALL_GAPS + STALL_SLACK
         late: list[int] = []
         for worker in self.active.values():  # active ones only: the whole subset took two fifths of the CPU
             worker.measure(now)
@@ -149,7 +149,7 @@
             worker.stalled = silent and now - worker.last_seen > max_silence
         self._rotate(now)
         self._probe_suspects(now)
-        if self.terms.tariff.call_off:
+        if self.config.limits.call_off:
             for index in late:
                 self._step(now, index, Input.LATE)
             for worker in list(self.active.values()):
@@ -164,7 +164,7 @@
             txn = self.txns[index]
             scheme = txn.scheme
             # The queue of a worker that operators took out is lost at its restart, so it is always moved.
-            stuck = worker.index in self.bans and self.bans[worker.index].out
+            stuck = worker.index in self.overrides and self.overrides[worker.index].out
             movable = posting.silent if posting.started else stuck or (not futile and posting.overdue(now))
             # Where a call-off stops nothing, each txn moved out of a queue ran twice, and queues grew.
             movable = movable and (not self.notifies or stuck or now - posting.seen_at > HUNG * self.mean_run)
--- a/sableford/policy/bound.py
+++ b/sableford/policy/local_bound.py
@@ -14,13 +14,13 @@
 T = TypeVar("T")
 
 
-def point(name: bytes) -> int:
+def hash32(name: bytes) -> int:
     """Hashes a name to [0, 2**32). Plain checksums of similar names are similar: without the multiplication
     most schedulers picked the same half of the workers."""
     return crc32(name) * GOLDEN % 2**32
 
 
-def within(
+def pick_within(
     loads: Sequence[tuple[float, T]], load: float, candidate: T, bound: float, randint: Callable[[int], int]
 ) -> T:
     """Returns `candidate`, of that `load`, if it is within the bound of the lowest, else a lowest one."""
@@ -31,7 +31,7 @@
     return least[randint(len(least))]
 
 
-def breaks(
+def violations(
     loads: Sequence[tuple[float, T]], below: float, is_old: Callable[[T], bool]
 ) -> Iterator[tuple[float, T]]:
     """Yields the estimates that break the bound: far below the candidate, or too old."""
--- a/sableford/policy/ledger.py
+++ b/sableford/policy/scheduler_state.py
@@ -4,14 +4,14 @@
 from heapq import heappop, heappush
 from typing import ClassVar, get_args
 
-from sableford.model import Banned, Repeats, Scope, Terms
+from sableford.model import Repeats, SchedulerConfig, Scope, WorkerOverride
+from sableford.model.config import RETRY_RULES, RetryScope
 from sableford.model.effects import CallOff, Decline, Effect, Reverse
-from sableford.model.events import Event, Listed
+from sableford.model.events import Event, RosterEntry
+from sableford.model.rates import DecayingSum, TokenBucket
 from sableford.model.ring import Ring
 from sableford.model.state import Input, Kind, Rank, Run, State, Txn, TxnQueue, Worker
-from sableford.model.tally import Allowance, Tally
-from sableford.model.terms import PERMITS, Again
-from sableford.policy.bound import point
+from sableford.policy.local_bound import hash32
 
 SENDERS = 8  # notified schedulers that send to a cold worker; with more, most turns met no txn
 KEY_MEMORY = 20_000.0  # ms: decay of key counts; some hundred txns of a small scheduler
@@ -24,16 +24,16 @@
 EXPIRY_MARGIN = 150.0  # ms before expiry: nothing is sent or held after it; more than POLL, so none is missed
 
 
-class Ledger:
+class SchedulerState:
     transitions: ClassVar[dict] = {}  # (state, input): next state, action
 
-    def __init__(self, terms: Terms, seed: int) -> None:
-        self.terms, self.seed, self.draws = terms, seed, 0
+    def __init__(self, config: SchedulerConfig, seed: int) -> None:
+        self.config, self.seed, self.draws = config, seed, 0
         self.effects, self.choices_left = list[Effect](), MAX_CHOICES
         self.txns: dict[int, Txn] = {}
-        self.listed: dict[int, Listed] = {}  # the roster with overrides applied
-        self.roster: dict[int, Listed] = {}  # as received
-        self.bans: dict[int, Banned] = {}  # the operators' last override of each worker
+        self.listed: dict[int, RosterEntry] = {}  # the roster with overrides applied
+        self.roster: dict[int, RosterEntry] = {}  # as received
+        self.overrides: dict[int, WorkerOverride] = {}  # the operators' last override of each worker
         self.warm: list[int] = []  # ready and warm
         self.warm_local: list[int] = []  # ready, warm and in the own zone
         self.workers: dict[int, Worker] = {}  # in the subset or sent to
@@ -46,12 +46,12 @@
         self.selected: Worker | None = None
         self.rotation, self.decay_time, self.mean_run = -1, 1.0, 1.0
         self.kinds: dict[int, Kind] = {}
-        self.runs = [Run(scheme.expiry * RUN_PRIOR, RUN_WEIGHT) for scheme in terms.schemes]
+        self.runs = [Run(scheme.expiry * RUN_PRIOR, RUN_WEIGHT) for scheme in config.schemes]
         self.queues = [[TxnQueue(at, rank, run) for at, run in enumerate(self.runs)] for rank in Rank]
         self.ring = Ring()  # consistent hashing of keys
         self.base_rating = 0.0  # the rating that gets the usual ring points
-        self.key_counts: dict[int, Tally] = {}
-        self.keyed = Tally(KEY_MEMORY)  # txns with keys
+        self.key_counts: dict[int, DecayingSum] = {}
+        self.keyed = DecayingSum(KEY_MEMORY)  # txns with keys
         self.held, self.crowding = 0, 1.0  # txns held; schedulers per worker
         self.watchers: dict[tuple[int, int], tuple[int, ...]] = {}
         self.takes_turns, self.turns_from = True, 0.0  # whether this process uses the turns, and since when
@@ -61,27 +61,27 @@
         self._set_shares(0.0)
         self.notifies = False
         self._update_peer_mode()
-        self.wake_at, self.moves, self.good_moves = 0.0, Tally(MOVE_MEMORY), Tally(MOVE_MEMORY)
+        self.wake_at, self.moves, self.good_moves = 0.0, DecayingSum(MOVE_MEMORY), DecayingSum(MOVE_MEMORY)
         named = {sort: f"_{sort.__name__.lower()}" for sort in get_args(Event)}
         self.handlers = {sort: getattr(self, name) for sort, name in named.items()}
 
     def _update_peer_mode(self) -> bool:
         """Updates whether schedulers notify each other of their load; returns whether that changed."""
         # All schedulers send to a key's homes: the few notified were seldom the next to send there.
-        before, self.notifies = self.notifies, self.terms.tells and not self.key_counts
+        before, self.notifies = self.notifies, self.config.notify_peers and not self.key_counts
         # Where reports leave out queued postings, own ones in the queue hid others' running ones.
-        self.queue_reported = self.terms.waiting >= 0 or self.terms.handled >= 0 or not self.terms.tells_start
+        self.queue_known = self.config.waiting >= 0 or self.config.handled >= 0 or not self.config.start_known
         # How many schedulers may send to one cold worker.
-        self.senders = min(SENDERS, self.terms.schedulers) if self.notifies else self.terms.schedulers
+        self.senders = min(SENDERS, self.config.schedulers) if self.notifies else self.config.schedulers
         # Peer loads from before a time without notifications would never be updated.
         for worker in self.workers.values() if self.notifies != before else ():
-            worker.clear_peer_loads(self.queue_reported)
+            worker.clear_peer_loads(self.queue_known)
         return self.notifies != before
 
     def _randint(self, ends: int) -> int:
         self.draws += 1
         # Checksums of similar seeds are similar: unmixed, most schedulers drew the same half of the workers.
-        return point(b"%d:%d" % (self.seed, self.draws)) * ends >> 32
+        return hash32(b"%d:%d" % (self.seed, self.draws)) * ends >> 32
 
     def _step(self, now: float, index: int, happened: Input | None) -> None:
         txn = self.txns[index]
@@ -94,17 +94,17 @@
     def _give_up(self, now: float, index: int, txn: Txn) -> None:
         """Answers a txn that is given up."""
         scheme = txn.scheme
-        _, harmless = PERMITS[scheme.repeats, txn.origin is not None]
+        _, harmless = RETRY_RULES[scheme.repeats, txn.origin is not None]
         if harmless or (scheme.repeats is Repeats.REFERENCED and scheme.scope is Scope.ALL):
-            pause = min(self.terms.tariff.pause, self._queue(txn).wait(now))
+            pause = min(self.config.limits.pause, self._queue(txn).wait(now))
             self.effects.append(Decline(index, pause))
         else:
             self.effects.append(Reverse(index))
 
     def _retry(self, now: float, index: int, txn: Txn) -> Input | None:
         """After a posting without a result: holds the txn for a retry, or gives it up."""
-        where, _ = PERMITS[txn.scheme.repeats, txn.origin is not None]
-        if where is Again.NOWHERE or now >= txn.limit or txn.posted >= txn.postings:
+        where, _ = RETRY_RULES[txn.scheme.repeats, txn.origin is not None]
+        if where is RetryScope.NOWHERE or now >= txn.limit or txn.posted >= txn.postings:
             return Input.LATE
         self._enqueue(index, txn)
         return None
@@ -112,7 +112,7 @@
     def _call_off(self, now: float, index: int, txn: Txn) -> None:
         txn.moved = True
         for number, posting in txn.in_flight.items():
-            if self.terms.tariff.call_off and not posting.called_off:
+            if self.config.limits.call_off and not posting.called_off:
                 posting.called_off = True
                 txn.avoid = posting.worker
                 self.effects.append(CallOff(index, number))
@@ -125,8 +125,8 @@
     def _hold_tardy(self, now: float, txn: Txn) -> bool:
         """Goes on holding a txn past its SLA time if a late result earns something and is likely."""
         # Given up at the SLA time, txns still worth a third were declined while workers became free.
-        remaining = txn.taken.expiry - EXPIRY_MARGIN - now
-        queue = self.queues[Rank.TARDY][txn.taken.scheme]
+        remaining = txn.spec.expiry - EXPIRY_MARGIN - now
+        queue = self.queues[Rank.TARDY][txn.spec.scheme]
         if not txn.scheme.tardy or txn.rank is Rank.TARDY or queue.wait(now) > MAX_WAIT_PART * remaining:
             return False
         txn.rank, txn.limit = Rank.TARDY, now + remaining
@@ -135,13 +135,13 @@
     def _set_shares(self, now: float) -> None:
         """Divides each tenant's allowance by the number of schedulers."""
         # The burst starts full: with a rate below 1/s the first txn of each scheduler exceeded the share.
-        rates = [account.allowance / self.terms.schedulers for account in self.terms.accounts]
-        self.shares = [Allowance(now, rate, BURST + rate, BURST + rate) for rate in rates]
+        rates = [account.allowance / self.config.schedulers for account in self.config.accounts]
+        self.shares = [TokenBucket(now, rate, BURST + rate, BURST + rate) for rate in rates]
 
     def _beyond_share(self, now: float, account: int) -> bool:
         """Whether the tenant exceeds this scheduler's share of its allowance."""
         limited = account < len(self.shares) and self.shares[account].rate
-        return bool(limited) and not self.shares[account].takes(now)
+        return bool(limited) and not self.shares[account].take(now)
 
     def _enqueue(self, index: int, txn: Txn) -> None:
         insort(self._queue(txn).entries, (txn.limit, index))
@@ -165,7 +165,7 @@
                     self._step(now, index, Input.LATE)
 
     def _queue(self, txn: Txn) -> TxnQueue:
-        return self.queues[txn.rank][txn.taken.scheme]
+        return self.queues[txn.rank][txn.spec.scheme]
 
     def _need(self, txn: Txn) -> float:
-        return max(1.0, txn.taken.slots)
+        return max(1.0, txn.spec.slots)
--- a/sableford/policy/draw.py
+++ b/sableford/policy/subset.py
@@ -4,14 +4,14 @@
 from heapq import heappop
 from math import ceil
 
-from sableford.model.effects import Tell
-from sableford.model.events import Listed, Standing
-from sableford.model.ring import party
+from sableford.model.effects import NotifyPeers
+from sableford.model.events import RosterEntry, Standing
+from sableford.model.rates import DecayingSum
+from sableford.model.ring import select_members
 from sableford.model.state import Txn, Worker
-from sableford.model.tally import Tally
-from sableford.policy.bound import point
-from sableford.policy.cold import Cold
-from sableford.policy.ledger import KEY_MEMORY, SENDERS
+from sableford.policy.local_bound import hash32
+from sableford.policy.scheduler_state import KEY_MEMORY, SENDERS
+from sableford.policy.slow_start import SlowStart
 
 WATCHERS = 3.0  # schedulers per worker: with more, others change its load faster than answers update it
 MIN_SUBSET = 8.0  # workers: enough to leave a choice if a third of them are full or unhealthy
@@ -29,7 +29,7 @@
 ERROR_RATE = 0.15  # of results: far above healthy workers, below the mildest fault worth avoiding
 
 
-class Draw(Cold):
+class Subset(SlowStart):
     def _outsiders(self, pool: list[int]) -> Iterator[Worker]:
         """Yields warm workers outside the subset, from a random one on."""
         if len(self.subset) >= len(self.warm) or not pool:
@@ -41,13 +41,13 @@
             if not (worker and worker.in_subset):
                 yield worker or self._add_worker(entry)
 
-    def _add_worker(self, entry: Listed) -> Worker:
+    def _add_worker(self, entry: RosterEntry) -> Worker:
         worker = self.workers[entry.worker] = Worker(entry.worker, entry, self.kinds[entry.kind])
         return worker
 
-    def _add_warm(self, entry: Listed) -> None:
+    def _add_warm(self, entry: RosterEntry) -> None:
         self.warm.append(entry.worker)
-        if entry.zone == self.terms.zone:
+        if entry.zone == self.config.zone:
             self.warm_local.append(entry.worker)
 
     def _failing(self, worker: Worker) -> bool:
@@ -56,10 +56,10 @@
     def _homes(self, now: float, txn: Txn) -> list[Worker]:
         """Returns the first permitted workers from the key's ring position on; a hot key has more."""
         self.choices_left -= 1
-        share = self.key_counts[txn.taken.key].read(now) / (self.keyed.read(now) + KEY_WEIGHT)
+        share = self.key_counts[txn.spec.key].read(now) / (self.keyed.read(now) + KEY_WEIGHT)
         count = max(MIN_HOMES, ceil(share * len(self.warm) / HOME_LOAD))
         homes: list[Worker] = []
-        for index in self.ring.after(point(b"%d" % txn.taken.key)):
+        for index in self.ring.after(hash32(b"%d" % txn.spec.key)):
             worker = self.workers.get(index) or self._add_worker(self.listed[index])
             if self._permitted(worker, now, txn):
                 homes.append(worker)
@@ -67,20 +67,20 @@
                     break
         return homes
 
-    def _place_on_ring(self, entry: Listed, rating: float) -> None:
+    def _place_on_ring(self, entry: RosterEntry, rating: float) -> None:
         """Places a worker on the ring with points by its rating; no other worker's keys move."""
         if entry.standing is Standing.GONE:
             self.ring.drop(entry.worker)
         elif entry.worker not in self.listed:
-            rating = rating if rating > 0.0 and not self.terms.live else 1.0  # 0: not given
+            rating = rating if rating > 0.0 and not self.config.live_ratings else 1.0  # 0: not given
             self.base_rating = self.base_rating or rating
             points = range(round(POINTS * min(MAX_SCALE, max(1.0 / MAX_SCALE, rating / self.base_rating))))
-            self.ring.place(entry.worker, (point(b"%d:%d" % (entry.mark, at)) for at in points))
+            self.ring.place(entry.worker, (hash32(b"%d:%d" % (entry.id_hash, at)) for at in points))
 
     def _count_key(self, now: float, key: int) -> None:
         if key not in self.key_counts and len(self.key_counts) >= MAX_KEYS:
-            self.key_counts = {key: Tally(KEY_MEMORY)}
-        self.key_counts.setdefault(key, Tally(KEY_MEMORY)).add(now)
+            self.key_counts = {key: DecayingSum(KEY_MEMORY)}
+        self.key_counts.setdefault(key, DecayingSum(KEY_MEMORY)).add(now)
         self.keyed.add(now)
         if self._update_peer_mode():
             self.turns_from = now
@@ -89,22 +89,22 @@
     def _notify(self, worker: Worker, now: float) -> None:
         if self.notifies:
             size = SENDERS if worker.index in self.cold else self._notified()
-            peers = tuple(peer for peer in self._watchers(worker.hash, size) if peer != self.terms.position)
+            peers = tuple(peer for peer in self._watchers(worker.hash, size) if peer != self.config.position)
             if peers:
-                self.effects.append(Tell(peers, worker.index, worker.own))
+                self.effects.append(NotifyPeers(peers, worker.index, worker.own))
 
-    def _watchers(self, mark: int, size: float) -> tuple[int, ...]:
+    def _watchers(self, id_hash: int, size: float) -> tuple[int, ...]:
         """Returns the schedulers that watch a worker, by its hash: all compute the same, without messages."""
-        cache_key = mark, int(size)
-        if cache_key not in self.watchers:
-            self.watchers[cache_key] = party(point(b"%d" % mark), self.terms.schedulers, int(size))
-        return self.watchers[cache_key]
+        key = id_hash, int(size)
+        if key not in self.watchers:
+            self.watchers[key] = select_members(hash32(b"%d" % id_hash), self.config.schedulers, int(size))
+        return self.watchers[key]
 
     def _notified(self) -> float:
         return max(MIN_NOTIFIED, MIN_SUBSET * self.crowding)
 
     def _subset_size(self) -> float:
-        return max(MIN_SUBSET, WATCHERS * len(self.warm) / self.terms.schedulers)
+        return max(MIN_SUBSET, WATCHERS * len(self.warm) / self.config.schedulers)
 
     def _fill_subset(self, now: float) -> None:
         """Fills the subset up, from the own zone first."""
@@ -112,7 +112,7 @@
             return self._use_notified()
         self._remove([worker for worker in self.subset if not worker.ready or worker.index in self.cold])
         target = self._subset_size()
-        own = sum(worker.zone == self.terms.zone for worker in self.subset)
+        own = sum(worker.zone == self.config.zone for worker in self.subset)
         for pool, least in ((self.warm_local, LOCAL_PART * target - own), (self.warm, target)):
             outsiders = self._outsiders(pool)
             while len(self.subset) < target and least > 0.0 and (worker := next(outsiders, None)):
@@ -125,7 +125,7 @@
         for index in [*self.warm, *self.cold]:
             entry = self.listed[index]
             size = SENDERS if index in self.cold else self._notified()
-            if self.terms.position in self._watchers(entry.mark, size):
+            if self.config.position in self._watchers(entry.id_hash, size):
                 worker = self.workers.get(index) or self._add_worker(entry)
                 worker.in_subset = True
                 self.subset.append(worker)
--- a/sableford/policy/news.py
+++ b/sableford/policy/worker_reports.py
@@ -3,17 +3,17 @@
 from math import exp
 
 from sableford.model import events
-from sableford.model.events import NEVER_RAN, UNTOLD, Ended, Ending, Standing, Started
+from sableford.model.events import NEVER_RAN, SILENT, Ended, Ending, Standing, Started
 from sableford.model.state import START_WAIT, Input, Posting, Worker
-from sableford.policy.choice import REPORT_LAG
-from sableford.policy.postings import QUEUED_EXCESS, Postings
+from sableford.policy.dispatch import QUEUED_EXCESS, Dispatch
+from sableford.policy.worker_selection import REPORT_LAG
 
 ERROR_MEMORY = 10_000.0  # ms: decay of error and success counts
 DISPATCH_GAP = 20.0  # ms between dispatches on a peer load without estimated room: 16 of 17 found none
 QUEUED_PART = 0.1  # of a worker's postings may queue: that keeps it busy between two finishes
 
 
-class News(Postings):
+class WorkerReports(Dispatch):
     def _started(self, now: float, event: Started) -> None:
         if (posting := self._posting(event.txn, event.posting)) is None:
             return
@@ -27,7 +27,7 @@
                 if self.txns[event.txn].moved:
                     self.good_moves.add(now)
             worker.running[posting.scheme] += 1
-            if not self.queue_reported:
+            if not self.queue_known:
                 worker.change_known(posting.need, now)
         posting.seen_at = worker.last_seen = now
         worker.suspect = False
@@ -64,12 +64,12 @@
         self._record_outcome(worker, posting, event.ending, now)
         worker.own = max(0.0, worker.own - posting.need)
         self._notify(worker, now)
-        if self.queue_reported or posting.started:
+        if self.queue_known or posting.started:
             worker.change_known(-posting.need, now)
         self._apply_report(worker, event.load, now)
         self._check_queue(worker, now)
         # Where workers shed begun work, 'full' proves no more than a missing answer.
-        begun = event.ending is Ending.FULL and self.terms.duties.full_may_have_run
+        begun = event.ending is Ending.FULL and self.config.obligations.full_may_have_run
         never = event.ending in NEVER_RAN and not begun
         txn.origin = None if never and txn.origin is posting else txn.origin
         uncertain = Input.LATE if event.ending is Ending.UNFIT else Input.MAY_HAVE_RUN
@@ -94,7 +94,7 @@
         elif ending is Ending.ERROR or ending is Ending.BROKEN:
             worker.errors += 1.0
         # A queue is no silence: txns moved out of queues had half of a busy fleet marked suspect.
-        elif ending is Ending.NO_CONNECTION or (ending in UNTOLD and posting.unanswered(now, self.mean_run)):
+        elif ending is Ending.NO_CONNECTION or (ending in SILENT and posting.unanswered(now, self.mean_run)):
             self._mark_suspect(worker, now)
         # With nothing left in flight there it looked idle and was sent the next txn at once.
         elif ending is Ending.FULL or (ending is Ending.CALLED_OFF and posting.overdue(now)):
@@ -107,24 +107,24 @@
             self._apply_entry(entry, now)
             return self._classify(now)
         self.suspects[worker.index], worker.suspect, worker.probe_ok = worker, True, False
-        if not self.terms.tariff.probes:
+        if not self.config.limits.probes:
             worker.probed_at = now
 
     def _apply_report(self, worker: Worker, load: tuple[float, ...], now: float) -> None:
         """Applies a load report. Unchanged figures are the same report, whose estimate goes on ageing."""
-        terms, kind = self.terms, worker.kind
-        if load == worker.last_report or len(load) <= max(terms.free_slots, terms.handled, terms.waiting):
+        config, kind = self.config, worker.kind
+        if load == worker.last_report or len(load) <= max(config.free_slots, config.handled, config.waiting):
             return
         worker.last_report = load
-        if terms.free_slots >= 0:
-            kind.slots = max(kind.slots, float(round(load[terms.free_slots])))
-        if terms.handled >= 0:
-            worker.update_load(now, load[terms.handled], REPORT_LAG)
-        elif terms.free_slots >= 0:
-            waiting = load[terms.waiting] if terms.waiting >= 0 else 0.0
-            worker.update_load(now, kind.slots - load[terms.free_slots] + waiting, REPORT_LAG)
+        if config.free_slots >= 0:
+            kind.slots = max(kind.slots, float(round(load[config.free_slots])))
+        if config.handled >= 0:
+            worker.update_load(now, load[config.handled], REPORT_LAG)
+        elif config.free_slots >= 0:
+            waiting = load[config.waiting] if config.waiting >= 0 else 0.0
+            worker.update_load(now, kind.slots - load[config.free_slots] + waiting, REPORT_LAG)
 
-    def _sampled(self, now: float, event: events.Sampled) -> None:
+    def _probed(self, now: float, event: events.Probed) -> None:
         worker = self.workers.get(event.worker)
         if worker is not None and not event.answered:
             self._mark_suspect(worker, now)
@@ -133,7 +133,7 @@
             self._apply_report(worker, event.load, now)
         self._dispatch(now)
 
-    def _heard(self, now: float, event: events.Heard) -> None:
+    def _peerupdate(self, now: float, event: events.PeerUpdate) -> None:
         """Applies another scheduler's load at a worker, like an own send or finish."""
         peer, index, slots = event
         if index not in self.workers and index not in self.listed:
--- a/sableford/policy/choice.py
+++ b/sableford/policy/worker_selection.py
@@ -6,14 +6,14 @@
 from sableford.model import Repeats, Scope
 from sableford.model.effects import Probe
 from sableford.model.state import Txn, Worker
-from sableford.policy.bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, breaks, within
-from sableford.policy.draw import Draw
-from sableford.policy.ledger import EXPIRY_MARGIN, RUN_WEIGHT
+from sableford.policy.local_bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, pick_within, violations
+from sableford.policy.scheduler_state import EXPIRY_MARGIN, RUN_WEIGHT
+from sableford.policy.subset import Subset
 
 DECAY_RUNS = 0.5  # mean runs: decay of others' jobs in an ageing estimate; most have finished by then
 KIND_TAU = 2000.0  # ms: decay of a kind's mean load once reports are missing, so that it is tried again
 STALE_PENALTY = 0.5  # jobs added to a fully aged estimate: a slot known to be free beats an assumed one
-REPORT_LAG = 300.0  # ms: age of a report on arrival; learning it changed no deployment by more than noise
+REPORT_LAG = 300.0  # ms: age of a report on arrival
 ZONE_PENALTY = 0.25  # jobs added to a worker in another zone where cross-zone traffic costs money
 OUTSIDERS = 3  # workers outside a full subset tried for one txn; the next try takes others
 FREE_FILL = 0.75  # of its slots: a worker filled to this with known txns is no slower; the fastest fill first
@@ -24,18 +24,18 @@
 MIN_BUDGET = 2.0  # own txns in a span: with fewer, a scheduler takes turns, as rounding would leave it none
 
 
-class Choice(Draw):
+class WorkerSelection(Subset):
     def _estimate(self, worker: Worker, now: float) -> float:
         """Slots in use: own ones, and others' by the last report, decaying to the kind's mean with age."""
         # With one mean for all kinds, many schedulers at once saw room only on the strongest kind.
         typical = worker.kind.typical
         if self.cold and worker.index in self.cold:  # assumed as full as the others, it was left idle
-            typical = min(typical, self.terms.duties.bears(now - worker.since) * worker.kind.capacity)
+            typical = min(typical, self.config.obligations.share(now - worker.since) * worker.kind.capacity)
         if self.notifies and worker.others < 0.0:
             return worker.own + worker.peer_total + typical
         if worker.others < 0.0:
             # Without reports all schedulers see the same empty fleet and filled it many times over.
-            assumed = self.in_use * (self.terms.schedulers - 1) / max(1, len(self.warm))
+            assumed = self.in_use * (self.config.schedulers - 1) / max(1, len(self.warm))
             return worker.own + max(typical, min(assumed, 0.5 * worker.kind.capacity))
         known = worker.own + worker.peer_total + worker.excess.read(now)
         if worker.suspect:  # a suspect counts by its last report only
@@ -61,7 +61,7 @@
         # Otherwise fast kinds kept free slots while txns ran late on slow ones.
         load = max(jobs + need, FREE_FILL * slots) if self.notifies else jobs + need
         index = load * size / (slots * worker.pace) - need
-        if worker.zone != self.terms.zone and self.terms.tariff.crossing:
+        if worker.zone != self.config.zone and self.config.limits.crossing:
             index += ZONE_PENALTY
         index += STALE_PENALTY * (1.0 - exp((worker.as_of - now) / self.decay_time))
         return index, jobs + need <= slots + SLACK_SLOTS or jobs <= SLACK_SLOTS
@@ -71,7 +71,7 @@
         need = self._need(txn)
         self._update_typical(now)
         candidates = [*self.subset, *self._open_turns(now)] if self.cold else self.subset
-        if txn.taken.key:
+        if txn.spec.key:
             candidates = self._homes(now, txn)
         sizes = [worker.kind.capacity * worker.pace for worker in candidates]
         size = sum(sizes) / len(sizes) if sizes else 1.0
@@ -89,7 +89,7 @@
             spare = reserve if sound and worker.pace < SLOW_PACE else free
             (spare if room else full).append((index, worker))
         # No peer updates come from workers outside the subset: they looked idle, and queues grew on them.
-        if not (free or self.notifies or txn.taken.key) and (outsider := self._add_outsider(now, txn, size)):
+        if not (free or self.notifies or txn.spec.key) and (outsider := self._add_outsider(now, txn, size)):
             return outsider
         free = free or reserve
         if not free:
@@ -104,11 +104,11 @@
         index, worker = proposed[self.rotation % len(proposed)]
         bound = IMBALANCE - UNCERTAINTY
         self._refresh(now, free, index - bound)
-        return within(free, index, worker, bound, self._randint)
+        return pick_within(free, index, worker, bound, self._randint)
 
     def _returned(self, worker: Worker, now: float) -> bool:
         """Whether operators returned it a moment ago and it has not been used since."""
-        rule = self.bans.get(worker.index)
+        rule = self.overrides.get(worker.index)
         return rule is not None and not rule.out and worker.sent_at < rule.at and now - rule.at < RETURN_AGE
 
     def _add_outsider(self, now: float, txn: Txn, size: float) -> Worker | None:
@@ -123,10 +123,10 @@
 
     def _refresh(self, now: float, free: list[tuple[float, Worker]], below: float) -> None:
         """Probes the workers whose estimates break the bound, where probes are allowed."""
-        if not self.terms.tariff.probes:
+        if not self.config.limits.probes:
             return
         limit = AGE_LIMIT * (PEER_AGES if self.notifies else 1.0) + REPORT_LAG
-        for _, worker in breaks(free, below, lambda worker: now - worker.as_of > limit):
+        for _, worker in violations(free, below, lambda worker: now - worker.as_of > limit):
             # Probing at the rate of a lone scheduler, hundreds of them cost more than the traffic earned.
             may_probe = self.crowding <= 1.0 or self._randint(1000) * self.crowding <= 1000.0
             if may_probe and now - worker.probed_at >= AGE_LIMIT:
@@ -139,7 +139,7 @@
         if not worker.ready or scheme.kind not in (-1, worker.kind.index):
             return False
         # A hung worker may answer probes, so an answer proves nothing beside an own posting without updates.
-        if worker.suspect and not (worker.probe_ok and not (worker.postings and self.terms.tariff.probes)):
+        if worker.suspect and not (worker.probe_ok and not (worker.postings and self.config.limits.probes)):
             return False
         if txn.origin is not None and scheme.repeats is Repeats.REFERENCED:
             first = txn.origin
--- a/sableford/simhost/wire.py
+++ b/sableford/simhost/wire.py
@@ -110,15 +110,15 @@
     def check(self, inst: int, worker: int) -> None:
         self._records.append(_check(22, inst, worker))
 
-    def write_peers(self, inst: int, peers: tuple[int, ...], word: bytes) -> None:
-        at = len(self._tail)
-        self._records += [_write_peer(27, inst, peer, at, len(word)) for peer in peers]
-        self._tail += word
+    def write_peers(self, inst: int, peers: tuple[int, ...], message: bytes) -> None:
+        offset = len(self._tail)
+        self._records += [_write_peer(27, inst, peer, offset, len(message)) for peer in peers]
+        self._tail += message
 
     def fault(self, inst: int, text: str) -> None:
-        told = text.encode()
-        self._records.append(_fault(21, inst, len(self._tail), len(told)))
-        self._tail += told
+        encoded = text.encode()
+        self._records.append(_fault(21, inst, len(self._tail), len(encoded)))
+        self._tail += encoded
 
     def packed(self) -> bytes:
         body = b"".join(self._records) + self._tail
--- a/sableford/store/choice.py
+++ b/sableford/store/choice.py
@@ -2,13 +2,13 @@
 
 A worker's estimate is its reported figure (what the other stores last said to have in flight there) plus
 own sends less own completions. The rotation and the local bound are the module's
-(`sableford.policy.bound`); what is asked for anew are copies that break it. Departures, each with its
+(`sableford.policy.local_bound`); what is asked for anew are copies that break it. Departures, each with its
 condition, stand in `docs/design.md`.
 """
 
 from typing import NamedTuple
 
-from sableford.policy.bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, breaks, point, within
+from sableford.policy.local_bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, hash32, pick_within, violations
 from sableford.transport.routes import RoutingTable
 
 CROSSING = 1.0  # jobs added to a worker in another zone: a body that crosses costs 2% of its worth
@@ -79,7 +79,7 @@
 
     def _chance(self, ends: int) -> int:
         self._draws += 1
-        return point(f"{self._seed}:{self._draws}".encode()) * ends >> 32
+        return hash32(f"{self._seed}:{self._draws}".encode()) * ends >> 32
 
     # The list
 
@@ -173,12 +173,12 @@
         self._turn += 1
         index, named = indices[self._turn % len(indices)]
         bound = IMBALANCE - UNCERTAINTY
-        for below, one in breaks(indices, index - bound, lambda one: now - one.heard_at > AGE_LIMIT):
+        for below, one in violations(indices, index - bound, lambda one: now - one.heard_at > AGE_LIMIT):
             del below
             if now - one.asked_at >= AGE_LIMIT:
                 one.asked_at = now
                 self.stale.add(one.entry.id)
-        return within(indices, index, named, bound, self._chance)
+        return pick_within(indices, index, named, bound, self._chance)
 
     def sent(self, worker: Worker) -> None:
         worker.own += 1
--- a/sableford/store/rate_limits.py
+++ b/sableford/store/rate_limits.py
@@ -4,7 +4,7 @@
 stores that had nothing to send counts into that.
 """
 
-from sableford.model.tally import Allowance
+from sableford.model.rates import TokenBucket
 from sableford.transport.routes import Backend, RoutingTable
 
 ALLOWED_ARRIVALS = 5.0  # beyond a rate in a window (RULES.md, CEILING)
@@ -18,7 +18,7 @@
 
     def __init__(self, window_s: float, excess: float) -> None:
         self._window_s, self._excess = window_s, excess
-        self._allowances: dict[str, Allowance] = {}
+        self._allowances: dict[str, TokenBucket] = {}
         self._made_for = (0, -1)  # live stores, revision
 
     def update(self, now: float, store_count: int, table: RoutingTable) -> None:
@@ -32,16 +32,18 @@
             if backend.rate > 0.0:
                 self._allowances[name] = self._allowance(now, stores, backend, before.get(name))
 
-    def _allowance(self, now: float, stores: int, backend: Backend, before: Allowance | None) -> Allowance:
+    def _allowance(
+        self, now: float, stores: int, backend: Backend, before: TokenBucket | None
+    ) -> TokenBucket:
         allowed = backend.rate * self._window_s * (self._excess - 1.0) + ALLOWED_ARRIVALS
         burst = BURST_PART * allowed
         most = max(1.0, burst / stores)
         # Where even one for each is more than may be saved up, the rate gives the rest.
         over = max(0.0, most * stores - burst) / self._window_s
         rate = max(MIN_RATE, backend.rate - over) / stores
-        return Allowance(now, rate, most, min(most, before.saved) if before is not None else 0.0)
+        return TokenBucket(now, rate, most, min(most, before.tokens) if before is not None else 0.0)
 
     def allows(self, now: float, backend: str) -> bool:
         """Whether one more delivery may go to the service now; it counts as gone."""
         allowance = self._allowances.get(backend)
-        return allowance is None or allowance.takes(now)
+        return allowance is None or allowance.take(now)
--- a/tests/actors.py
+++ b/tests/actors.py
@@ -9,8 +9,8 @@
 
 import h11
 
-from sableford.intake.charter import Charter, read_charter
-from sableford.intake.door import Sheet
+from sableford.intake.index_table import WorkerList
+from sableford.intake.scheduler_settings import SchedulerSettings, parse_settings
 from sableford.model import Ending
 from sableford.net import workers
 from sableford.net.client import Client
@@ -32,7 +32,7 @@
     async def scene() -> list:
         near, far = socket.socketpair()
         near.setblocking(False)
-        charter = Charter(None, ("quote",), (), (), (), 5000.0, 250.0, frozenset({"quote"}))
+        charter = SchedulerSettings(None, ("quote",), (), (), (), 5000.0, 250.0, frozenset({"quote"}))
         gate = SimpleNamespace(mail=Mailbox(), desk=Mailbox(), clock=Clock(asyncio.get_running_loop()))
         gate.beside = False
         gate.limits, gate.charter, gate.log = granted(100, 64, 5000.0, 250.0), charter, Log("n0")
@@ -54,8 +54,8 @@
 
     async def scene() -> tuple[float, list]:
         clock, limits = Clock(asyncio.get_running_loop()), granted(100, 64, 5000.0, 250.0)
-        charter = read_charter(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
-        charter = charter._replace(schemes=("quote",), taken=frozenset({"quote"}))
+        charter = parse_settings(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
+        charter = charter._replace(schemes=("quote",), accepted_schemes=frozenset({"quote"}))
         log = Log("n0", sink=io.BytesIO())
         desk = Desk(charter, "5eed", Mailbox(), clock, limits, log)
         handover = Handover("n0", None, clock, limits, log)
@@ -64,7 +64,7 @@
         console = Console(desk.console, handover.mail, clock, limits, log)
         console.open(listener)
         places = {"A": ("127.0.7.5", 1), "B": ("127.0.7.5", 2)}
-        sheet = Sheet([(name, 0, 0, 0, 1, 1.0, 0.0) for name in places])
+        sheet = WorkerList([(name, 0, 0, 0, 1, 1.0, 0.0) for name in places])
         desk.mail.put(Told(sheet, True, places))
         tasks = [asyncio.create_task(console.run()), asyncio.create_task(desk.run())]
         tasks.append(asyncio.create_task(handover.run(desk.mail, Mailbox(), Mailbox())))
@@ -127,7 +127,7 @@
     async def scene(comes: str) -> tuple[list, int]:
         loop = asyncio.get_running_loop()
         clock, limits = Clock(loop), granted(100, 64, 5000.0, 250.0)
-        charter = read_charter(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
+        charter = parse_settings(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
         far_ends: list[socket.socket] = []
 
         async def dial(address, limits) -> Peer:
--- a/tests/adapter.py
+++ b/tests/adapter.py
@@ -5,8 +5,8 @@
 import sys
 from struct import pack, unpack_from
 
-from sableford.intake.charter import read_charter
-from sableford.intake.door import Door, Sheet
+from sableford.intake.index_table import IndexTable, WorkerList
+from sableford.intake.scheduler_settings import parse_settings
 
 PROFILE = {
     "instances": 1,
@@ -57,14 +57,14 @@
 
 
 def shows_an_unknown_code_stops_with_one_line() -> None:
-    code, out, told = host(opening(1) + frame(9.5, record(99, "I", 1)))
-    assert code and told.count("\n") == 1 and "99" in told
+    code, out, errors = host(opening(1) + frame(9.5, record(99, "I", 1)))
+    assert code and errors.count("\n") == 1 and "99" in errors
 
 
 def shows_a_short_frame_and_a_stray_tail_stop() -> None:
     for sent in (frame(1.0, record(21, "IQ", 1, 0))[:-5], b"\1\0", frame(1.0, record(24, "BII", 0, 900, 1))):
-        code, _, told = host(sent)
-        assert code and told.count("\n") == 1 and "Traceback" not in told
+        code, _, errors = host(sent)
+        assert code and errors.count("\n") == 1 and "Traceback" not in errors
 
 
 def shows_a_failure_in_the_decisions_goes_out_as_a_fault() -> None:
@@ -87,45 +87,61 @@
     again = frame(
         9.6, record(20, "I", 1), record(17, "IQIBBHdBB4f", 1, 8, 77, 0, 0, 301, 0.1, 0, 0, 0, 0, 0, 0)
     )
-    code, out, told = host(first + frame(9.5, call(1, 8)) + again)
-    assert code == 0 and not told and out.endswith(pack("<II", 0, 0))
+    code, out, errors = host(first + frame(9.5, call(1, 8)) + again)
+    assert code == 0 and not errors and out.endswith(pack("<II", 0, 0))
 
 
 def shows_a_full_list_removes_whom_it_omits() -> None:
-    door = Door()
-    door.roster(Sheet([(9, 0, 0, 0, 1, 1.0, 0.0), (4, 0, 0, 0, 1, 1.0, 0.0)]), complete=True)
-    gone = door.roster(Sheet([(4, 0, 0, 0, 1, 0.5, 0.0)]), complete=True)
-    assert [(line.worker, int(line.standing)) for line in gone.lines] == [(0, 0)] and gone.rating(1) == 0.5
+    table = IndexTable()
+    table.roster_update(WorkerList([(9, 0, 0, 0, 1, 1.0, 0.0), (4, 0, 0, 0, 1, 1.0, 0.0)]), complete=True)
+    gone = table.roster_update(WorkerList([(4, 0, 0, 0, 1, 0.5, 0.0)]), complete=True)
+    assert [(entry.worker, int(entry.standing)) for entry in gone.entries] == [(0, 0)] and gone.rating(
+        1
+    ) == 0.5
 
 
 def shows_a_txn_keeps_its_index_until_nothing_is_out() -> None:
-    door = Door()
-    txn = door.take(500)
-    door.posted(txn)
-    door.over(txn)
-    assert door.txn(500) == txn and door.take(501) != txn
-    door.back(txn, closed=True)
-    assert door.txn(500) is None and door.take(502) == txn
+    table = IndexTable()
+    txn = table.add_txn(500)
+    table.posting_sent(txn)
+    table.close_txn(txn)
+    assert table.find_txn(500) == txn and table.add_txn(501) != txn
+    table.posting_ended(txn, closed=True)
+    assert table.find_txn(500) is None and table.add_txn(502) == txn
 
 
 def shows_the_start_up_text_is_read_by_meaning() -> None:
-    terms = read_charter(json.dumps(PROFILE).encode()).terms
-    assert (terms.waiting, terms.free_slots) == (0, 1)
-    assert (terms.schemes[0].sla, terms.schemes[0].stretch, terms.duties.push_span) == (300.0, 2.5, 2000.0)
+    config = parse_settings(json.dumps(PROFILE).encode()).config
+    assert (config.waiting, config.free_slots) == (0, 1)
+    assert (config.schemes[0].sla, config.schemes[0].stretch, config.obligations.push_span) == (
+        300.0,
+        2.5,
+        2000.0,
+    )
 
 
 def shows_the_settings_on_misses_and_removals_are_read_and_bad_ones_named() -> None:
     def read(**more):
-        return read_charter(json.dumps(PROFILE | more).encode()).terms
-
-    assert not read().punctual and not read().duties.soft
-    assert not read().duties.full_may_have_run and read().duties.start_drift == 0.0
-    owed = PROFILE["obligations"] | {"soft_removal": True, "busy_is_no_proof": True, "start_drift_s": 13}
-    told = read(
-        scoring_mix={"punctual": 0.4, "miss_allowed": 0.02}, obligations=owed, specifics={"class_kind": [2]}
+        return parse_settings(json.dumps(PROFILE | more).encode()).config
+
+    assert not read().punctual and not read().obligations.soft_removal
+    assert not read().obligations.full_may_have_run and read().obligations.start_drift == 0.0
+    obligations = PROFILE["obligations"] | {
+        "soft_removal": True,
+        "busy_is_no_proof": True,
+        "start_drift_s": 13,
+    }
+    config = read(
+        scoring_mix={"punctual": 0.4, "miss_allowed": 0.02},
+        obligations=obligations,
+        specifics={"class_kind": [2]},
+    )
+    assert config.punctual and config.obligations.soft_removal
+    assert (
+        config.obligations.full_may_have_run
+        and config.obligations.start_drift == 13_000.0
+        and config.schemes[0].kind == 2
     )
-    assert told.punctual and told.duties.soft
-    assert told.duties.full_may_have_run and told.duties.start_drift == 13_000.0 and told.schemes[0].kind == 2
     for bad, field in (
         ({"scoring_mix": {"punctual": -0.1}}, "scoring_mix.punctual"),
         ({"scoring_mix": {"miss_allowed": 2.0}}, "scoring_mix.miss_allowed"),
--- a/tests/decision_scenes.py
+++ b/tests/decision_scenes.py
@@ -21,36 +21,36 @@
 
 from sableford.model import (
     Account,
-    Amended,
-    Banned,
     CallOff,
+    ClientLeft,
+    ConfigChanged,
     Decline,
-    Duties,
     Ended,
     Ending,
-    Follow,
-    Heard,
-    Lapsed,
-    Listed,
+    FetchRoster,
+    NotifyPeers,
+    Obligations,
+    PeerUpdate,
     Post,
     Probe,
+    Probed,
     Progressed,
+    ProtocolLimits,
     Repeats,
     Reverse,
     Roster,
-    Sampled,
+    RosterEntry,
+    RosterFailed,
+    SchedulerConfig,
     Scheme,
     Scope,
     Standing,
     Started,
-    Taken,
-    Tariff,
-    Tell,
-    Terms,
-    Turns,
-    Unfollowed,
+    TurnsChanged,
+    TxnArrived,
     Wake,
     Woken,
+    WorkerOverride,
 )
 from sableford.policy.scheduler import Scheduler
 from tests.notation import bounds, options, spread
@@ -80,34 +80,34 @@
         self.schemes[name] = Scheme(sort, scope, **facts)
 
     def open(self) -> Scheduler:
-        return Scheduler(self.decided(), seed=7 + int(self.terms.get("position", 0)))
+        return Scheduler(self.config(), seed=7 + int(self.terms.get("position", 0)))
 
-    def decided(self) -> Terms:
+    def config(self) -> SchedulerConfig:
         told = options("schedulers=1 allowance=0 probes=0 postings=6 pause=0 factor=2 cold=0.2".split())
         told |= options("warm=10000 span=2000 tells=1 progress=1000 free=1 overage=0.1".split()) | self.terms
-        return Terms(
+        return SchedulerConfig(
             schedulers=int(told["schedulers"]),
             position=int(told.get("position", 0)),
             zone=0,
             schemes=tuple(self.schemes.values()),
             accounts=(Account(told["allowance"]), Account(0.0)) if told["allowance"] else (),
-            duties=Duties(
+            obligations=Obligations(
                 *(told[name] for name in ("cold", "warm", "factor", "span")),
                 *(bool(told.get(name, 0)) for name in ("soft", "full")),
                 told.get("drift", 0.0),
             ),
-            tariff=Tariff(
+            limits=ProtocolLimits(
                 int(told["postings"]), True, bool(told["probes"]), told["pause"], told["overage"], 0.0
             ),
-            tells_start=bool(told["tells"]),
+            start_known=bool(told["tells"]),
             progress=told["progress"],
-            live=bool(told.get("live", 0)),
-            follows=bool(told.get("follows", 0)),
+            live_ratings=bool(told.get("live", 0)),
+            subscribes=bool(told.get("follows", 0)),
             ask_within=told.get("ask", 0.0),
             waiting=int(told.get("line", 0)),
             handled=-1,
             free_slots=int(told["free"]),
-            tells=bool(told.get("peers", 0)),
+            notify_peers=bool(told.get("peers", 0)),
             by_work=bool(told.get("work", 0)),
         )
 
@@ -121,12 +121,12 @@
         txn, _, number = name.partition(".")
         return self.index("txn", txn), int(number)
 
-    def listed(self, text: str) -> Listed:
+    def listed(self, text: str) -> RosterEntry:
         name, *rest = text.split()
         facts = options(rest)
         standing = next((Standing[word.upper()] for word in rest if "=" not in word), Standing.READY)
         since = START + facts["since"] if "since" in facts else 0.0
-        return Listed(
+        return RosterEntry(
             self.index("worker", name),
             int(facts.get("zone", 0)),
             int(facts.get("kind", 0)),
@@ -151,9 +151,9 @@
                 txn = self.index("txn", name)
                 account, slots = int(facts.get("account", 0)), facts.get("slots", 1.0)
                 key = int(facts.get("key", 0))
-                yield Taken(txn, scheme, account, expiry, slots, facts.get("work", 0.0), key)
+                yield TxnArrived(txn, scheme, account, expiry, slots, facts.get("work", 0.0), key)
         elif verb == "hear":
-            yield Heard(int(rest[0]), self.index("worker", rest[1]), float(rest[2]))
+            yield PeerUpdate(int(rest[0]), self.index("worker", rest[1]), float(rest[2]))
         elif verb == "start":
             yield from (Started(*self.posting(name)) for name in rest)
         elif verb == "move":
@@ -164,26 +164,26 @@
             for name in rest[0].split(",") if "," in rest[0] else spread(rest[0]):
                 yield Ended(*self.posting(name), ending, ending is Ending.SETTLED, load)
         elif verb in ("ban", "back"):
-            yield Banned(self.index("worker", rest[0]), verb == "ban", now)
+            yield WorkerOverride(self.index("worker", rest[0]), verb == "ban", now)
         elif verb == "amend":
             for words in map(str.split, " ".join(rest).split(";")):
                 if "=" in words[0]:
                     self.terms |= options(words)
                 else:
                     self.scheme(*words)
-            yield Amended(self.decided())
+            yield ConfigChanged(self.config())
         elif verb in ("yield", "resume"):
-            yield Turns(verb == "resume")
+            yield TurnsChanged(verb == "resume")
         elif verb == "unfollow":
-            yield Unfollowed()
+            yield RosterFailed()
         elif verb == "lapse":
-            yield Lapsed(self.index("txn", rest[0]))
+            yield ClientLeft(self.index("txn", rest[0]))
         elif verb == "sample":
             load = tuple(map(float, rest[1:]))
             names = rest[0].split(",") if "," in rest[0] else spread(rest[0])
-            yield from (Sampled(self.index("worker", name), True, load) for name in names)
+            yield from (Probed(self.index("worker", name), True, load) for name in names)
         elif verb == "unanswered":
-            yield Sampled(self.index("worker", rest[0]), False, ())
+            yield Probed(self.index("worker", rest[0]), False, ())
         else:
             assert verb == "wait", f"unknown step {verb}"
 
@@ -210,11 +210,11 @@
                     self.told.append(f"decline {txns[txn]}")
                 case Reverse(txn):
                     self.told.append(f"reverse {txns[txn]}")
-                case Follow(once):
+                case FetchRoster(once):
                     self.told.append("ask" if once else "follow")
                 case Probe(worker):
                     self.told.append(f"probe {workers[worker]}")
-                case Tell(peers, worker, slots):
+                case NotifyPeers(peers, worker, slots):
                     self.told.append(f"tell {len(peers)} {workers[worker]} {slots:g}")
 
     def claim(self, text: str) -> None:
--- a/tests/legacy.py
+++ b/tests/learned_state.py
@@ -2,11 +2,11 @@
 
 import msgspec
 
-from sableford.intake.charter import Charter
-from sableford.legacy import Legacy, left_by, teach
+from sableford.intake.scheduler_settings import SchedulerSettings
+from sableford.learned_state import LearnedState, export_state, restore_state
 from tests.decision_scenes import START, Play
 
-CHARTER = Charter(None, ("quote",), ("here",), ("box",), (), 5000.0, 250.0, frozenset({"quote"}))
+SETTINGS = SchedulerSettings(None, ("quote",), ("here",), ("box",), (), 5000.0, 250.0, frozenset({"quote"}))
 
 
 def scene() -> Play:
@@ -24,26 +24,28 @@
 
 
 def shows_a_new_process_knows_the_slots_and_runs_that_the_old_one_learned() -> None:
-    left = msgspec.json.decode(msgspec.json.encode(left_by(old().core, ["A", "B"], CHARTER)), type=Legacy)
+    exported = msgspec.json.decode(
+        msgspec.json.encode(export_state(old().core, ["A", "B"], SETTINGS)), type=LearnedState
+    )
     new, fresh = scene(), scene()
-    teach(new.core, left, {"A": 0, "B": 1}.get, CHARTER, START + 100.0)
+    restore_state(new.core, exported, {"A": 0, "B": 1}.get, SETTINGS, START + 100.0)
     for play in (new, fresh):
         play.step("100 take t1-t12 quote".split())
-    posts = [sum(told.startswith("post") for told in play.told) for play in (new, fresh)]
+    posts = [sum(effect.startswith("post") for effect in play.told) for play in (new, fresh)]
     assert posts[1] == 4 and posts[0] >= 8, posts  # else two slots a worker, till reports tell more
     assert new.core.runs[0].mean() < fresh.core.runs[0].mean()
 
 
 def shows_of_a_worker_started_since_and_of_senseless_figures_nothing_is_taken() -> None:
-    left = left_by(old().core, ["A", "B"], CHARTER)
-    assert left.workers
-    for figures in left.workers.values():
+    exported = export_state(old().core, ["A", "B"], SETTINGS)
+    assert exported.workers
+    for figures in exported.workers.values():
         figures["since"] = START
-    left.kinds["box"]["slots"] = -4.0
-    left.schemes["quote"]["touched"] = START + 1e9
-    left.kinds["other"], left.workers["Z"] = {}, {}
+    exported.kinds["box"]["slots"] = -4.0
+    exported.schemes["quote"]["touched"] = START + 1e9
+    exported.kinds["other"], exported.workers["Z"] = {}, {}
     new = scene()
     before = new.core.runs[0].mean()
-    teach(new.core, left, {"A": 0, "B": 1}.get, CHARTER, START + 100.0)
+    restore_state(new.core, exported, {"A": 0, "B": 1}.get, SETTINGS, START + 100.0)
     assert new.core.runs[0].mean() == before and new.core.kinds[0].slots == 0.0
     assert all(worker.others < 0.0 for worker in new.core.workers.values())
--- a/tests/crowd.py
+++ b/tests/many_schedulers.py
@@ -2,8 +2,8 @@
 
 from heapq import heappop, heappush
 
-from sableford.model import Roster, Taken, Woken
-from sableford.policy.ledger import MAX_CHOICES
+from sableford.model import Roster, TxnArrived, Woken
+from sableford.policy.scheduler_state import MAX_CHOICES
 from tests.decision_scenes import START, Play
 
 MANY = 300
@@ -127,7 +127,7 @@
     lines = tuple(play.listed(f"W{at}") for at in range(20))
     core.handle(START, Roster(lines, lambda worker: 1.0))
     for at in range(400):
-        core.handle(START, Taken(at, 0, 0, START + 9e7, 1.0, 0.0, at + 1))
+        core.handle(START, TxnArrived(at, 0, 0, START + 9e7, 1.0, 0.0, at + 1))
     assert core.held > 100
     homes = core._homes
     core._homes = lambda now, txn: asked.append(txn) or homes(now, txn)
--- a/tests/socket_scenes.py
+++ b/tests/socket_scenes.py
@@ -31,7 +31,7 @@
 from functools import partial
 from zlib import crc32
 
-from sableford.intake.door import MARK
+from sableford.intake.index_table import HASH_MASK
 from sableford.net.berth import read_berth
 from sableford.net.cli import run
 from sableford.net.limits import Limits
@@ -108,7 +108,9 @@
     async def do_speak(self, peer: str, *rest: str) -> None:
         line = self.peers[int(peer[1:]) - 1]
         word = (
-            struct.pack("<HB", crc32(rest[0].encode()) & MARK, int(rest[1])) if rest[1:] else rest[0].encode()
+            struct.pack("<HB", crc32(rest[0].encode()) & HASH_MASK, int(rest[1]))
+            if rest[1:]
+            else rest[0].encode()
         )
         host, _, port = self.place.rpartition(":")
         line.sendto(word, (host, int(port)))
--- a/tests/socket_stubs.py
+++ b/tests/socket_stubs.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from zlib import crc32
 
-from sableford.intake.door import MARK
+from sableford.intake.index_table import HASH_MASK
 from tests.loopback import network
 from tests.notation import options
 
@@ -73,7 +73,7 @@
         line.bind((self.host(3), 0))
         line.setblocking(False)
         self.peers.append(line)
-        marks = {crc32(name.encode()) & MARK: name for name in self.listed}
+        marks = {crc32(name.encode()) & HASH_MASK: name for name in self.listed}
 
         def hear() -> None:
             mark, slots = struct.unpack("<HB", line.recv(300))
