--- a/tests/adapter.py
+++ b/tests/adapter.py
@@ -1,4 +1,4 @@
-"""Plain asserts on the simulator's adapter: framing, names, indices, instances."""
+"""The simulator adapter: framing, ids, indices and instances."""
 
 import json
 import subprocess
@@ -56,18 +56,18 @@
     assert unpack_from("<BIQId", route) == (17, 3, 12345, 77, 14.0)
 
 
-def shows_an_unknown_code_stops_with_one_line() -> None:
+def shows_an_unknown_code_ends_the_process_with_one_line_of_error() -> None:
     code, out, errors = host(opening(1) + frame(9.5, record(99, "I", 1)))
     assert code and errors.count("\n") == 1 and "99" in errors
 
 
-def shows_a_short_frame_and_a_stray_tail_stop() -> None:
+def shows_a_short_frame_and_a_tail_outside_it_end_the_process() -> None:
     for sent in (frame(1.0, record(21, "IQ", 1, 0))[:-5], b"\1\0", frame(1.0, record(24, "BII", 0, 900, 1))):
         code, _, errors = host(sent)
         assert code and errors.count("\n") == 1 and "Traceback" not in errors
 
 
-def shows_a_failure_in_the_decisions_goes_out_as_a_fault() -> None:
+def shows_a_failure_of_the_scheduler_is_sent_as_a_fault() -> None:
     code, out, _ = host(opening(1, {**PROFILE, "limits": {}}))
     kind, number = unpack_from("<BI", out, 8)
     assert (code, kind, number) == (0, 21, 1) and b"most_postings" in out
@@ -91,7 +91,7 @@
     assert code == 0 and not errors and out.endswith(pack("<II", 0, 0))
 
 
-def shows_a_full_list_removes_whom_it_omits() -> None:
+def shows_a_full_list_removes_workers_that_it_omits() -> None:
     table = IndexTable()
     table.roster_update(WorkerList([(9, 0, 0, 0, 1, 1.0, 0.0), (4, 0, 0, 0, 1, 1.0, 0.0)]), complete=True)
     gone = table.roster_update(WorkerList([(4, 0, 0, 0, 1, 0.5, 0.0)]), complete=True)
@@ -110,7 +110,7 @@
     assert table.find_txn(500) is None and table.add_txn(502) == txn
 
 
-def shows_the_start_up_text_is_read_by_meaning() -> None:
+def shows_report_columns_are_mapped_by_their_meaning() -> None:
     config = parse_settings(json.dumps(PROFILE).encode()).config
     assert (config.waiting, config.free_slots) == (0, 1)
     assert (config.schemes[0].sla, config.schemes[0].stretch, config.obligations.push_span) == (
@@ -154,4 +154,4 @@
         except ValueError as error:
             assert field in str(error), error
         else:
-            raise AssertionError(f"taken: {bad}")
+            raise AssertionError(f"accepted: {bad}")
--- a/tests/learned_state.py
+++ b/tests/learned_state.py
@@ -1,4 +1,4 @@
-"""Plain asserts on what a new module inherits."""
+"""Measurements that a new scheduler process takes over from the previous one."""
 
 import msgspec
 
@@ -23,7 +23,7 @@
     return play
 
 
-def shows_a_new_process_knows_the_slots_and_runs_that_the_old_one_learned() -> None:
+def shows_a_new_process_restores_the_slots_and_run_times_of_the_old_one() -> None:
     exported = msgspec.json.decode(
         msgspec.json.encode(export_state(old().core, ["A", "B"], SETTINGS)), type=LearnedState
     )
@@ -31,12 +31,12 @@
     restore_state(new.core, exported, {"A": 0, "B": 1}.get, SETTINGS, START + 100.0)
     for play in (new, fresh):
         play.step("100 take t1-t12 quote".split())
-    posts = [sum(effect.startswith("post") for effect in play.told) for play in (new, fresh)]
-    assert posts[1] == 4 and posts[0] >= 8, posts  # else two slots a worker, till reports tell more
+    posts = [sum(effect.startswith("post") for effect in play.effects) for play in (new, fresh)]
+    assert posts[1] == 4 and posts[0] >= 8, posts  # without them, two slots per worker until the first report
     assert new.core.runs[0].mean() < fresh.core.runs[0].mean()
 
 
-def shows_of_a_worker_started_since_and_of_senseless_figures_nothing_is_taken() -> None:
+def shows_figures_of_a_restarted_worker_and_invalid_figures_are_skipped() -> None:
     exported = export_state(old().core, ["A", "B"], SETTINGS)
     assert exported.workers
     for figures in exported.workers.values():
--- a/tests/notation.py
+++ b/tests/notation.py
@@ -1,7 +1,7 @@
-"""The notation of scenarios: files, ranges of names, options, and how often a claim is to match.
+"""Parses scenario files: titles, steps, ranges of names, options, and match counts of claims.
 
-A file holds scenarios, each begun by `== what is shown`, of steps and, indented below a step, claims on what
-came of it: `[COUNT|<=COUNT|>=COUNT] PATTERN`, one match where no count stands.
+A file holds scenarios. Each begins with `== title` and has steps and, indented below a step, claims on its
+effects: `[COUNT|<=COUNT|>=COUNT] PATTERN`; without a count, exactly one match.
 """
 
 import re
@@ -12,10 +12,10 @@
     return {key: float(value) for key, _, value in (word.partition("=") for word in words) if value}
 
 
-def spread(text: str) -> list[str]:
-    """A range of names written out.
+def expand_range(text: str) -> list[str]:
+    """Expands a range of names.
 
-    >>> spread("W8-W10 zone=1")
+    >>> expand_range("W8-W10 zone=1")
     ['W8 zone=1', 'W9 zone=1', 'W10 zone=1']
     """
     found = re.fullmatch(r"\s*(\D+)(\d+)-\1(\d+)(.*)", text)
@@ -26,7 +26,7 @@
 
 
 def bounds(text: str) -> tuple[str, int, int]:
-    """A claim's pattern, and how often at least and at most it is to match.
+    """Returns a claim's pattern and its least and greatest number of matches.
 
     >>> bounds("post *"), bounds("<=2 post *")
     (('post *', 1, 1), ('post *', 0, 2))
@@ -39,7 +39,7 @@
 
 
 def scenarios(text: str) -> dict[str, list[tuple[int, str]]]:
-    """The scenarios of one file by title.
+    """Returns the scenarios of a file by title.
 
     >>> scenarios("== one\\n0 wait\\n  0 *\\n")
     {'one': [(2, '0 wait'), (3, '  0 *')]}
--- a/tests/socket_scenes.py
+++ b/tests/socket_scenes.py
@@ -37,7 +37,7 @@
 from sableford.net.limits import Limits
 from sableford.net.log import Log
 from sableford.policy.scheduler import Scheduler
-from tests.notation import bounds, options, spread
+from tests.notation import bounds, expand_range, options
 from tests.socket_stubs import Stubs
 
 AGAIN = "POST /api HTTP/1.1\\r\\nHost: x\\r\\nX-Correlation-Id: t\\r\\nContent-Length: 0\\r\\n\\r\\n"
@@ -182,7 +182,7 @@
     async def do_take(self, txns: str, scheme: str, *rest: str) -> None:
         """Each txn on a connection of its own, or `on=` one that is kept."""
         facts = dict(word.split("=") for word in rest)
-        for txn in spread(txns):
+        for txn in expand_range(txns):
             body = facts.get("body", "").encode()
             head = f"POST /api?user=7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {txn}\r\n"
             head += f"X-Service-Class: {scheme}\r\nX-Time-Left: {facts.get('left', '5000m')}\r\n"
@@ -197,7 +197,7 @@
             .replace("*many", "9" * 2_000_000)
         )
         text = text.replace("*again", AGAIN * 100)
-        for one in spread(name):
+        for one in expand_range(name):
             first, *more = text.encode().decode("unicode_escape").encode("latin-1").split(b" ~ ")
             await self.send(one, None, first)
             for piece in more:
@@ -218,7 +218,7 @@
 
     async def do_whisper(self, names: str, *rest: str) -> None:
         """Bytes to the console, on a connection of the caller's own."""
-        for name in spread(names):
+        for name in expand_range(names):
             if name not in self.callers:
                 host, _, port = self.door.rpartition(":")
                 reader, self.callers[name] = await asyncio.open_connection(host, int(port))
