--- a/sableford/intake/scheduler_settings.py
+++ b/sableford/intake/scheduler_settings.py
@@ -117,12 +117,12 @@
 
 def _scheme(at: int, given: _Scheme, specifics: _Specifics) -> Scheme:
     if given.effect not in _REPEATS:
-        raise ValueError(f"schemes[{at}].effect: unknown word {given.effect!r}")
+        raise ValueError(f"schemes[{at}].effect: unknown value {given.effect!r}")
     for field in ("sla_time_s", "expiry_s"):
         if not 0.0 < getattr(given, field) < float("inf"):
             raise ValueError(f"schemes[{at}].{field}: not a positive number")
     if not 0.0 <= given.tardy_earnings <= 1.0:
-        raise ValueError(f"schemes[{at}].tardy_earnings: not a part of the earnings")
+        raise ValueError(f"schemes[{at}].tardy_earnings: must be between 0 and 1")
     if not isfinite(given.earnings) or not isfinite(given.memory_span_s):
         raise ValueError(f"schemes[{at}]: not a finite number")
     stretch = given.aim_stretch if given.aim_stretch is not None else _nth(specifics.class_stretch, at, 0.0)
@@ -141,7 +141,7 @@
 
 def _known_value(field: str, given: str, known: tuple[str, ...]) -> str:
     if given not in known:
-        raise ValueError(f"{field}: unknown word {given!r}")
+        raise ValueError(f"{field}: unknown value {given!r}")
     return given
 
 
@@ -155,7 +155,7 @@
     if not profile.schemes:
         raise ValueError("settings: schemes: none")
     if len(set(names)) < len(names):
-        raise ValueError(f"settings: schemes: a name twice: {max(names, key=names.count)!r}")
+        raise ValueError(f"settings: schemes: duplicate name: {max(names, key=names.count)!r}")
     columns = profile.load_info.columns if profile.load_info.via != "off" else []
     specifics, limits, obligations = profile.specifics, profile.limits, profile.obligations
     column = {name: at for at, name in enumerate(columns)}
