--- a/tests/control_member.py
+++ b/tests/control_member.py
@@ -1,4 +1,4 @@
-"""A member and its lease, by a clock of the test's: incidents of machines that were cut off and came back."""
+"""A member's lease on a simulated clock: processes that are partitioned from the leader and come back."""
 
 import asyncio
 
@@ -14,26 +14,25 @@
 
 
 class Silence:
-    """A log that says nothing."""
+    """A log that drops all events."""
 
     def event(self, name, /, **fields): ...
 
 
 class LeaderLink:
-    """The link to a leader of a term: it answers joins and renewals, and sends updates when the test says
-    so."""
+    """A link to the leader of a term, which accepts joins and renewals."""
 
     closed = False
 
     def __init__(self, term: int) -> None:
-        self.term, self.cut = term, False
+        self.term, self.is_cut = term, False
         self.sent: list[PeerMessage] = []
-        self.asked: list[PeerRequest] = []
+        self.requests: list[PeerRequest] = []
 
     def request(self, message: PeerRequest) -> asyncio.Future:
-        self.asked.append(message)
+        self.requests.append(message)
         future = asyncio.get_running_loop().create_future()
-        if self.cut:
+        if self.is_cut:
             future.set_exception(UnansweredError(LEADER))
         else:
             future.set_result(Response(JoinResponse(True, self.term)))
@@ -44,7 +43,7 @@
         return True
 
 
-class OneLink:
+class LeaderPool:
     """A pool whose only link is the leader's."""
 
     def __init__(self, link: LeaderLink) -> None:
@@ -67,12 +66,12 @@
 
 
 class Scene:
-    """One member on a clock that the test moves."""
+    """One member on a clock that the test advances."""
 
     def __init__(self) -> None:
         self.clock = 1000.0
         self.link = LeaderLink(term=3)
-        self.pool = OneLink(self.link)
+        self.pool = LeaderPool(self.link)
         self.member = MemberClient(self.pool, ME, lambda: STATUS, lambda: [LEADER], Silence())
         self.member.now = lambda: self.clock
 
@@ -91,9 +90,9 @@
         await scene.join()
         scene.hear(3, 1, view(1, ME))
         assert scene.member.holds_lease()
-        scene.clock += 20_000.0  # cut off; its shards are another's by now
+        scene.clock += 20_000.0  # partitioned; its shards have another owner by now
         await scene.join()
-        assert not scene.member.holds_lease(), "its lease runs and it still takes the shards for its own"
+        assert not scene.member.holds_lease(), "its lease is in force under its old view"
         scene.hear(3, 9, view(2, LEADER))
         assert scene.member.holds_lease() and scene.member.view.number == (3, 2)
 
@@ -106,7 +105,7 @@
         await scene.join()
         scene.hear(3, 1, view(1, ME))
         scene.clock += 20_000.0
-        await scene.join(term=5)  # it has just won, and gathers views before it tells any
+        await scene.join(term=5)  # newly elected: it collects the members' views before it sends one
         scene.hear(5, 0, None)
         assert not scene.member.holds_lease()
         scene.hear(5, 1, view(1, LEADER, term=5))
@@ -122,7 +121,7 @@
         scene.hear(3, 1, view(1, ME))
         scene.clock += 20_000.0
         await scene.join(term=5)
-        scene.hear(3, 2, view(2, ME))  # was on its way for long
+        scene.hear(3, 2, view(2, ME))  # delayed
         assert not scene.member.holds_lease()
 
     asyncio.run(play())
@@ -134,7 +133,7 @@
         await scene.join()
         scene.hear(3, 1, view(1, ME))
         scene.clock += LEASE_MS / 2
-        await scene.join(term=4)  # nobody can have been given its shards: messages go on meanwhile
+        await scene.join(term=4)  # its shards can't have been assigned to others, so it need not stop
         scene.clock += LEASE_MS * 0.75
         assert scene.member.holds_lease()
 
--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -1,4 +1,4 @@
-"""Who votes, who stands in the roster, who may be emptied: tables, and the control service's part."""
+"""Voters, the roster and retirement: decision tables, the control service, and random simulations."""
 
 import asyncio
 from collections import Counter
@@ -34,32 +34,32 @@
 )
 
 
-def stores(told: str, *states: Presence) -> list[Candidate]:
+def stores(names: str, *states: Presence) -> list[Candidate]:
     """`a@p` is a store in zone p; its region is the zone's first letter."""
     found = []
-    for at, text in enumerate(told.split()):
+    for at, text in enumerate(names.split()):
         name, _, zone = text.partition("@")
         found.append(Candidate(name, zone, zone[:1], states[at] if at < len(states) else S))
     return found
 
 
-# Who votes
+# Voters
 
 
 def shows_a_seat_is_handed_on_only_to_a_store_that_is_there_to_take_it() -> None:
     for voters, there, losses, wanted in (
-        ("abc", stores("a b c", S, S, G), 1, "abc"),  # nobody to take it: it keeps its seat
+        ("abc", stores("a b c", S, S, G), 1, "abc"),  # no replacement: it keeps its vote
         ("abc", stores("a b c d", S, S, G), 1, "abd"),
-        ("abc", stores("a b c d", S, S, L), 1, "abd"),  # a planned end, before it comes
+        ("abc", stores("a b c d", S, S, L), 1, "abd"),  # replaced while it is still shutting down
         ("abc", stores("a b c", S, S, L), 1, "abc"),  # a plain restart with no spare store
         ("abc", stores("a b c d", S, S, A), 1, "abc"),  # away for a short time
-        ("abc", stores("a b c d", S, S, U), 1, "abc"),  # a new leader has not heard of it yet
+        ("abc", stores("a b c d", S, S, U), 1, "abc"),  # it has not joined the new leader yet
         ("abc", stores("a b c d", S, S, R, L), 1, "abc"),  # the other one leaves too
         ("abc", stores("a b c d", S, S, G, R), 1, "abd"),  # better one that is being emptied than none
         ("abc", stores("a b c d e", S, S, G, R), 1, "abe"),
         ("abc", stores("a b c d", S, S, R), 1, "abd"),
-        ("abc", stores("a b c d", S, G, R), 1, "acd"),  # one spare: it takes the seat of the one that is gone
-        ("abcd", stores("a b c d", S, S, S, G), 1, "abc"),  # its place was filled
+        ("abc", stores("a b c d", S, G, R), 1, "acd"),  # one spare: it replaces the store that is gone
+        ("abcd", stores("a b c d", S, S, S, G), 1, "abc"),  # already replaced
         ("abcd", stores("a b c d", S, S, S, A), 1, "abc"),  # an even number, one of them away
         ("abcd", stores("a b c d", S, S, S, U), 1, "abcd"),  # not yet known to be away
         ("abcd", stores("a b c d", S, S, S, S), 1, "abcd"),
@@ -118,16 +118,16 @@
     by_name = {one.name: one for one in there}
     chosen = [by_name[name] for name in found.voters]
     assert len(set(found.voters)) == len(found.voters)
-    # Never fewer than are asked for, unless there are fewer.
+    # Never fewer voters than required, unless there are fewer stores.
     may = [one for one in there if one.name in voters or one.presence in (S, R)]
     assert len(chosen) >= min(2 * tolerance.machines + 1, len(may)), found
-    # Only a store that serves takes a seat anew, one that is being emptied only where none else is there.
+    # Only a serving store becomes a voter; one that is being emptied does only if there is no other.
     assert all(one.presence in (S, R) for one in chosen if one.name not in voters), found
-    # One that goes keeps its seat only where no store is left to take it.
+    # A store that goes keeps its vote only if there is no replacement.
     spare = [one for one in there if one.name not in (*voters, *found.voters) and one.presence is S]
     going = [one for one in chosen if one.presence not in KEEPS_VOTE]
     assert not (spare and going), (found, spare, going)
-    # What it says of the losses that it bears is true of each single one.
+    # `bears_*` is true for each kind of loss by itself.
     for places, bears, place_of in (
         (tolerance.zones, found.bears_zones, lambda one: one.zone),
         (tolerance.regions, found.bears_regions, lambda one: one.region),
@@ -135,7 +135,7 @@
         counts = sorted(sum(place_of(o) == p for o in chosen) for p in {place_of(o) for o in chosen})
         lost = sum(counts[len(counts) - min(places, len(counts)) :])
         assert bears == (2 * (len(chosen) - lost) > len(chosen)), (found, chosen)
-    # Carried out, it stays as it is: nothing moves for nothing.
+    # Once applied, the selection is stable.
     assert select_voters(found.voters, there, tolerance).voters == found.voters, (found, there)
 
 
@@ -152,7 +152,7 @@
     tracker = PresenceTracker(1760.0)
     assert tracker.presence_of(0.0, "a", True) is S
     assert tracker.presence_of(100.0, "a", False) is A and tracker.presence_of(1900.0, "a", False) is G
-    tracker.observe(50_000.0, {"a": StoreInfo("a.1", "z")}, "a")  # as another leader says
+    tracker.observe(50_000.0, {"a": StoreInfo("a.1", "z")}, "a")  # in another leader's view
     tracker.become_leader(60_000.0)
     assert tracker.presence_of(60_000.0, "a", False) is U
     assert tracker.presence_of(61_700.0, "a", False) is U and tracker.presence_of(61_800.0, "a", False) is G
@@ -164,7 +164,7 @@
     assert tracker.presence_of(0.0, "a", False) is G and tracker.presence_of(0.0, "b", False) is U
     tracker.observe(0.0, {"a": StoreInfo("a.2", "z")}, "ab")  # it was a restart
     assert tracker.presence_of(10.0, "a", False) is U
-    tracker.observe(2000.0, {}, "a")  # gone without a word, as another leader's view says
+    tracker.observe(2000.0, {}, "a")  # another leader's view shows it absent, without announcement
     tracker.become_leader(4000.0)
     assert tracker.presence_of(4100.0, "a", False) is U and tracker.presence_of(4600.0, "a", False) is G
 
@@ -219,7 +219,7 @@
     def step(ms: float, leaving: bool, names: str) -> list:
         nonlocal now
         now += ms
-        told = []
+        effects = []
         for name in names:
             request = RenewRequest(
                 incarnation=name,
@@ -232,11 +232,11 @@
             )
             coordinator.renewed(now, name, request)
             coordinator.members[name].safe = coordinator.view.number
-            told += coordinator.acknowledged(now, name, name, coordinator.update_number)
-        return [one for one in told + coordinator.tick(now) if isinstance(one, RemoveStore)]
+            effects += coordinator.acknowledged(now, name, name, coordinator.update_number)
+        return [one for one in effects + coordinator.tick(now) if isinstance(one, RemoveStore)]
 
     for _ in range(20):
-        assert not step(100.0, True, "abc")  # it is there still
+        assert not step(100.0, True, "abc")  # still a member
     assert coordinator.view.live_stores["c"].leaving and not [
         one for one in coordinator.view.owners if one == "c"
     ]
@@ -245,7 +245,7 @@
     assert step(100.0, False, "ab") == [RemoveStore("c")]
 
 
-# The control service's part
+# The control service
 
 
 async def joined(control: ControlService, clock: list[float], names: list[str]) -> None:
@@ -278,25 +278,25 @@
     async def scene() -> None:
         control, clock = core()
         assert await run_core(control, clock, lambda: control.leads)
-        control.record.wanted = ("s09",)  # as it was when it led before
+        control.record.wanted = ("s09",)  # from an earlier term as leader
         control._voter_manager.update(clock[0], leads=False)
         assert control.record.wanted == ("s00",)
 
     asyncio.run(scene())
 
 
-# Walks, and planted mistakes
+# Random simulations, and planted mistakes
 
 
 class TwoAtOnce(MembershipSimulation):
-    """Changes voters again before the last change is agreed on."""
+    """Changes voters again before the last change is committed."""
 
     def may_change(self) -> bool:
         return True
 
 
-class SeatGivenUp(MembershipSimulation):
-    """Who goes loses its seat though nobody takes it."""
+class VoteRemovedEarly(MembershipSimulation):
+    """A store that goes loses its vote without a replacement."""
 
     def select(self, candidates: list[Candidate]) -> tuple[str, ...]:
         wanted = super().select(candidates)
@@ -305,7 +305,7 @@
 
 
 class RemovedFirst(MembershipSimulation):
-    """Who goes is taken out before who comes is in."""
+    """The old voter is removed before the new one is added."""
 
     def next_voters(self, wanted: tuple[str, ...]) -> dict[str, int] | None:
         gone = [name for name in self.voters if name not in wanted and name != self.leader]
@@ -315,7 +315,7 @@
 
 
 class CheckedOutside(MembershipSimulation):
-    """Whether enough are left is looked at before the change has its turn."""
+    """Checks whether enough stores are left before the change has its turn, not when it is applied."""
 
     def retire_on(self, node: str) -> Callable[[], Roster]:
         stores = self.candidates(self.roster.stores)
@@ -327,8 +327,8 @@
         return lambda: self.roster.with_retiring(node, host)
 
 
-class Deaf(PresenceTracker):
-    """Does not heed that a store says it leaves."""
+class IgnoresLeaving(PresenceTracker):
+    """Ignores the announcement that a store leaves."""
 
     def observe(self, now: float, live_stores: dict[str, StoreInfo], known: Iterable[str]) -> None:
         stay = {name: msgspec.structs.replace(one, leaving=False) for name, one in live_stores.items()}
@@ -341,17 +341,17 @@
 
 
 class FixedTimes(MembershipSimulation):
-    """Waits for as long as the version before did, whether a store says that it leaves or not."""
+    """Waits for a fixed time, as an earlier version did, whether a store has announced leaving or not."""
 
     def patience_of(self, sync_s: float) -> float:
         return 3500.0
 
     def tracker_of(self) -> PresenceTracker:
-        return Deaf(self.patience)
+        return IgnoresLeaving(self.patience)
 
 
 class EmptiedWhileVoting(MembershipSimulation):
-    """A store is reported as emptied though it votes."""
+    """A store is removed as emptied while it still votes."""
 
     def may_strike(self, name: str) -> bool:
         return not self.coordinator.has_returned(name)
@@ -359,7 +359,7 @@
 
 PLANTED = (
     TwoAtOnce,
-    SeatGivenUp,
+    VoteRemovedEarly,
     RemovedFirst,
     CheckedOutside,
     FixedTimes,
@@ -368,7 +368,7 @@
 
 
 def walk(seed: int, make: type[MembershipSimulation] = MembershipSimulation) -> MembershipSimulation:
-    """Every fourth with seven stores of which two may be lost at once."""
+    """Every fourth simulation has seven stores, of which two may be lost at once."""
     two = seed % 4 == 0
     return make(seed, 7 if two else 4, Tolerance(2 if two else 1), 6.0 if seed % 2 else 4.4)
 
@@ -392,17 +392,17 @@
             raise AssertionError(f"{make.__name__} was not found in 60 walks")
 
 
-class NotSpared(MembershipSimulation):
-    """Asks owners only once a store is away for long, when some of them may be gone."""
+class EvidenceTooLate(MembershipSimulation):
+    """Uses owners' reports only once a store is absent for long, when some owners may be gone."""
 
     def coordinator_of(self) -> Coordinator:
         coordinator = super().coordinator_of()
-        coordinator._departures = Forgetful(self.patience)
+        coordinator._departures = WithoutEvidence(self.patience)
         return coordinator
 
 
-class Forgetful(Departures):
-    """Keeps no evidence, and hears none of a store that is still there."""
+class WithoutEvidence(Departures):
+    """Keeps no evidence, and ignores reports about a store that is still a member."""
 
     def observe_safe_views(self, safe, spares) -> None:
         super().observe_safe_views(safe, (0, 0))
@@ -414,7 +414,8 @@
 
 
 def lost_as_one_goes(seed: int, make: type[MembershipSimulation]) -> MembershipSimulation:
-    """One that is replaced goes just before it counts no more; another loses power just after."""
+    """A store that is being replaced exits just before its loss stops counting; another loses power just
+    after."""
     walk = make(seed).run(6000.0)
     old, other, *_ = [one for one in walk.stores.values() if one.name != walk.leader]
     walk.loses(old, walk.now + walk.sync_ms, "to be replaced")
@@ -433,21 +434,21 @@
     found = 0
     for seed in range(10):
         try:
-            lost_as_one_goes(seed, NotSpared)
+            lost_as_one_goes(seed, EvidenceTooLate)
         except Wrong as wrong:
             found += str(wrong).startswith("TAKEOVER")
     assert found >= 6, found
 
 
 class CountedTooSoon(MembershipSimulation):
-    """A newcomer votes before it has caught up."""
+    """A new voter is counted before it has caught up."""
 
     def caught_up(self, store: SimulatedStore) -> bool:
         return store.up
 
 
 def lost_as_one_comes(seed: int, make: type[MembershipSimulation]) -> None:
-    """One of three is to be emptied, a fourth takes its seat; as it does, another loses power."""
+    """One of three stores is being emptied and a fourth replaces it; at that moment another loses power."""
     walk = make(seed, 3).run(6000.0)
     new = walk.successor()
     new.ready_at = walk.now + 2500.0
@@ -477,7 +478,7 @@
 
 
 def roll(stores: int, losses: int, gap: float) -> MembershipSimulation:
-    """Each store stopped and started in turn, the next one `gap` ms after one is back."""
+    """Stops and starts each store in turn, the next one `gap` ms after the last one is back."""
     walk = MembershipSimulation(stores, stores, Tolerance(losses)).run(6000.0)
     walk.counts["voters"] = 0
     for store in list(walk.stores.values()):
@@ -493,7 +494,7 @@
 def shows_stores_restarted_in_turn_always_have_a_majority_and_hand_on_each_vote_once() -> None:
     for stores, losses, most in ((3, 1, 0), (4, 1, 8), (7, 2, 14), (5, 2, 0)):
         for gap in (700.0, 5000.0):
-            walk = roll(stores, losses, gap)  # its rules are checked at each step
+            walk = roll(stores, losses, gap)  # checks its invariants at each step
             assert walk.counts["voters"] <= most, (stores, gap, walk.counts, walk.story)
             assert len(walk.voters) == 2 * losses + 1, walk.story
 
@@ -502,7 +503,7 @@
     group = Group("abc")
     leader = group.led()
     stay = sorted(name for name in "abc" if name != leader.name)[:1] + [leader.name]
-    group.want(stay)  # no store may be lost: two of three seats are left, and nobody is to come
+    group.want(stay)  # no loss has to be tolerated: two of three voters are left, and none is added
     assert group.run(3000.0, lambda: sorted(group.led().stable_voters() or {}) == sorted(stay))
 
 
--- a/tests/control_orders.py
+++ b/tests/control_orders.py
@@ -1,4 +1,4 @@
-"""Orders to change the configuration, and what workers and operators may send: decided without a network."""
+"""Configuration orders, and validation of what workers and operators send, without a network."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 
 class Orders(RuleBasedStateMachine):
-    """Two operators who race, repeat themselves and err: one version after the other, none of them twice."""
+    """Two operators send concurrent, repeated and invalid orders: each version has one successor."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -94,7 +94,7 @@
         assert revisions == sorted(set(revisions))
 
 
-def shows_orders_of_two_operators_leave_one_line_of_versions() -> None:
+def shows_orders_of_two_operators_make_one_sequence_of_versions() -> None:
     run_state_machine_as_test(Orders, settings=settings(STEPS, stateful_step_count=20))
 
 
@@ -139,17 +139,17 @@
 
 
 def shows_an_order_is_known_again_by_itself_not_by_what_it_comes_to() -> None:
-    made = decide(State(), order(0, config(1))).state
-    made = decide(made, order(1, config(3))).state
-    assert decide(made, order(1, config(3))) == Confirmed(3)
-    other = order(1, {"revision": 3}, OrderKind.AMEND)  # another operator's, which would come to the same
-    assert decide(made, other).status == 412
-    assert decide(made, order(0, config(3))).status == 412
-    assert decide(made, order(3, config(3))).status == 400
+    state = decide(State(), order(0, config(1))).state
+    state = decide(state, order(1, config(3))).state
+    assert decide(state, order(1, config(3))) == Confirmed(3)
+    other = order(1, {"revision": 3}, OrderKind.AMEND)  # another order, which would give the same content
+    assert decide(state, other).status == 412
+    assert decide(state, order(0, config(3))).status == 412
+    assert decide(state, order(3, config(3))).status == 400
 
 
 def shows_an_order_older_than_all_that_is_remembered_is_not_refused() -> None:
-    """A record written by version 0.3, whose leader kept the last 32 marks only."""
+    """A record written by version 0.3, whose leader kept only the last 32 digests."""
     text = orjson.dumps({"revision": 90, "doc": config(90), "taken": [["m1", 80], ["m2", 90]]})
     state = State.load(text)
     assert decide(state, order(7, config(8))) == Undecided(7)
@@ -158,7 +158,7 @@
     assert isinstance(decide(state, order(90, config(95))), Proposal)
 
 
-# Over the calls of a machine that leads
+# Through the HTTP API of the leader
 
 
 async def _replace(control, clock, base: int, doc: dict) -> int:
@@ -178,8 +178,8 @@
             assert await _replace(control, clock, revision - 1, config(revision, "b") | {"x": 1}) != 200
         assert control.state.revision == 300
         value = control.record.state_machine.values["config"].data
-        assert len(value) < 50 * order_history.RECENT * 2, len(value)  # not all marks with each change
-        # A day later nobody sends them again, and what is kept stays bounded.
+        assert len(value) < 50 * order_history.RECENT * 2, len(value)  # no change writes all digests again
+        # A day later no order is repeated any more, and the history stays bounded.
         control.unix_ms = lambda: 2 * order_history.SEGMENT_RETENTION_MS
         for revision in range(301, 450):
             assert await _replace(control, clock, revision - 1, config(revision)) == 200
@@ -196,13 +196,13 @@
         assert await _replace(control, clock, 0, config(1)) == 200
         assert await wins_again(control, clock)
         joins(control, "e01", role="edge")
-        begun = clock[0]
+        started = clock[0]
         assert await _replace(control, clock, 0, config(1)) == 200
-        assert clock[0] - begun >= APPLY_WAIT_MS, "the edge has not applied its snapshot"
+        assert clock[0] - started >= APPLY_WAIT_MS, "the edge has not applied its snapshot"
         joins(control, "e01", prompt=True, role="edge")
-        begun = clock[0]
+        started = clock[0]
         assert await _replace(control, clock, 0, config(1)) == 200
-        assert clock[0] - begun < APPLY_WAIT_MS
+        assert clock[0] - started < APPLY_WAIT_MS
 
     asyncio.run(scene())
 
@@ -221,8 +221,8 @@
 
 
 def shows_odd_headers_and_fields_get_one_400_that_names_them() -> None:
-    beat = {"backend": "b", "address": "10.0.0.1:80", "zone": "z", "capacity": 2, "phase": "ready"}
-    beat |= {"callCount": 1, "coldLeftMs": 0, "revision": "v1"}
+    heartbeat = {"backend": "b", "address": "10.0.0.1:80", "zone": "z", "capacity": 2, "phase": "ready"}
+    heartbeat |= {"callCount": 1, "coldLeftMs": 0, "revision": "v1"}
     odd = {
         "address": ["10.0.0.1:\u00b2", "10.0.0.1:0", "10.0.0.1:65536", ":80", "a b:80", "a\r\nb:80", 7, None],
         "capacity": [-1, 1.5, "many", None, 10**30],
@@ -258,16 +258,18 @@
             assert got.status == 400, (body[:20], got)
         for field, values in odd.items():
             for value in values:
-                got = await call(control, clock, "POST", "/v1/instances/i-1/heartbeat", beat | {field: value})
+                got = await call(
+                    control, clock, "POST", "/v1/instances/i-1/heartbeat", heartbeat | {field: value}
+                )
                 assert (got.status, field.encode() in got.body) == (400, True), (field, value, got)
         for id in ("", "a%0d%0aHost:x", "%c3%a9", "a%20b", "x" * 129):
-            got = await call(control, clock, "POST", f"/v1/instances/{id}/heartbeat", beat)
+            got = await call(control, clock, "POST", f"/v1/instances/{id}/heartbeat", heartbeat)
             assert (got.status, b"id" in got.body) == (400, True), (id, got)
         for within in (-1, "nan", "soon", [1]):
             got = await call(control, clock, "POST", "/v1/retire/s1/start", {"withinS": within})
             assert (got.status, b"withinS" in got.body) == (400, True), (within, got)
         assert not control.coordinator.workers and control.state.revision == 0
-        assert (await call(control, clock, "POST", "/v1/instances/i-1/heartbeat", beat)).status == 200
+        assert (await call(control, clock, "POST", "/v1/instances/i-1/heartbeat", heartbeat)).status == 200
 
     asyncio.run(scene())
 
--- a/tests/control_service.py
+++ b/tests/control_service.py
@@ -1,4 +1,4 @@
-"""The core's actor at one machine that votes alone, by a clock of the test's: no ports, no disk."""
+"""The control service of one process that is the only voter, on a simulated clock, without ports or disk."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class Peer:
-    """A link that takes whatever is sent on it; a prompt member applies updates at once."""
+    """A link that records the messages sent on it. With `control`, its member applies updates at once."""
 
     closed = False
 
@@ -36,8 +36,8 @@
         return True
 
 
-class Prompt:
-    """A disk that has what it is given at once."""
+class ImmediateDisk:
+    """A disk whose writes succeed at once."""
 
     def write(self, puts: list, more: bool = False) -> asyncio.Future:
         future = asyncio.get_running_loop().create_future()
@@ -46,7 +46,7 @@
 
 
 class NoTimers:
-    """The loop without timers: the test itself calls what is due."""
+    """The event loop without timers: the test calls `tick` itself."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -58,7 +58,7 @@
 
 
 def core(losses: int = 0, settings: Settings | None = None) -> tuple[ControlService, list[float]]:
-    """The core at one machine that votes alone, by a clock of the test's."""
+    """The control service of one process that is the only voter, and its simulated clock."""
     runtime = SimpleNamespace(
         me="s00",
         links=SimpleNamespace(
@@ -72,12 +72,12 @@
         ),
     )
     clock = [0.0]
-    control = ControlService(runtime, Prompt())
+    control = ControlService(runtime, ImmediateDisk())
     control.loop = control.sessions.loop = NoTimers(control.loop)
     control.now = lambda: clock[0]
-    folder = RecordStorage([])
-    folder.initial_write(["s00"])
-    control.start(folder)
+    storage = RecordStorage([])
+    storage.initial_write(["s00"])
+    control.start(storage)
     return control, clock
 
 
@@ -107,22 +107,23 @@
     return task.result()
 
 
-def joins(control: ControlService, name: str, prompt: bool = False, **said: object) -> Peer:
+def joins(control: ControlService, name: str, prompt: bool = False, **status: object) -> Peer:
+    """A process joins; with `prompt` it applies updates at once."""
     peer = Peer(name, control if prompt else None)
-    about = {"role": "store", "zone": "z", "node": name, "view": View()}
-    request = JoinRequest(incarnation=peer.incarnation, **(about | said))
+    defaults = {"role": "store", "zone": "z", "node": name, "view": View()}
+    request = JoinRequest(incarnation=peer.incarnation, **(defaults | status))
     control.sessions.handle_join(IncomingMessage(peer, request, call_number=1))
     return peer
 
 
 async def wins_again(control: ControlService, clock: list[float]) -> bool:
-    """It leads anew: members have to join it, and may hold what the leader before granted them till now."""
+    """It is elected again: members have to join again, and may hold leases granted until now."""
     control.record.earlier_leader_until = clock[0]
     control.end_leadership()
     return await run_core(control, clock, lambda: control.leads)
 
 
-def shows_stores_that_come_together_enter_the_rolls_with_few_entries() -> None:
+def shows_stores_that_join_together_enter_the_roster_with_few_entries() -> None:
     async def scene() -> int:
         control, clock = core()
         assert await run_core(control, clock, lambda: control.leads)
@@ -133,4 +134,4 @@
         return control.record.state_machine.last
 
     entries = asyncio.run(scene())
-    assert entries < 12, entries  # the voter's own, and one or two for all; 522 had been seen
+    assert entries < 12, entries  # the voter's own, and one or two for all; one change per store took 522
--- a/tests/control_serving.py
+++ b/tests/control_serving.py
@@ -1,4 +1,6 @@
-"""Who may serve: edges with a configuration that may be old, and stores that do not lead."""
+"""Requests that a process must not answer: at an edge whose configuration may be out of date, and at a store
+that is not the leader.
+"""
 
 import asyncio
 
@@ -21,12 +23,12 @@
         gate.runtime.settings.rule_bounds.apply_ms = apply_ms
         gate.runtime.ending = asyncio.Event()
         gate.member.configuration_lease = LEASE_MS  # granted in answer to a renewal sent at 0
-        # The next leader may have won QUORUM_FRESH_MS before that, and had a newer version acknowledged at
-        # once.
-        last = apply_ms - QUORUM_FRESH_MS
-        gate.runtime.now = lambda: last - 1.0
+        # The next leader may have been elected QUORUM_FRESH_MS before that, and a newer version acknowledged
+        # at once.
+        end = apply_ms - QUORUM_FRESH_MS
+        gate.runtime.now = lambda: end - 1.0
         assert gate.is_ready() and asked(gate, "/none/").status == 404
-        gate.runtime.now = lambda: last + 1.0
+        gate.runtime.now = lambda: end + 1.0
         answer = asked(gate, "/none/")
         assert not gate.is_ready() and answer.status == 503 and dict(answer.headers)["Retry-After"]
 
@@ -49,40 +51,42 @@
     asyncio.run(scene())
 
 
-class Referring:
-    """A member that takes another one for the leader."""
+class ReferringLink:
+    """A link to a member that names another one as the leader."""
 
     def __init__(self, leader: str) -> None:
-        self.leader, self.asked = leader, 0
+        self.leader, self.request_count = leader, 0
 
     def request(self, message: PeerRequest) -> asyncio.Future:
-        self.asked += 1
+        self.request_count += 1
         loop = asyncio.get_running_loop()
         future = loop.create_future()
         loop.call_later(0.001, future.set_result, Response(JoinResponse(False, leader=self.leader)))
         return future
 
 
-class Referrers:
+class ReferringPool:
+    """Two members, each of which names the other as the leader."""
+
     def __init__(self) -> None:
-        self.links = {"a": Referring("b"), "b": Referring("a")}
+        self.links = {"a": ReferringLink("b"), "b": ReferringLink("a")}
 
     def set_peers(self, names: set[str]) -> None: ...
 
     def names(self) -> list[str]:
         return list(self.links)
 
-    def responsive_link(self, name: str) -> Referring:
+    def responsive_link(self, name: str) -> ReferringLink:
         return self.links[name]
 
 
 def shows_two_that_take_each_other_for_the_leader_are_not_asked_without_end() -> None:
     async def scene() -> int:
-        pool = Referrers()
+        pool = ReferringPool()
         member = MemberClient(pool, "me", lambda: STATUS, lambda: ["a"], Silence())
         finding = asyncio.create_task(member.find_leader())
         await asyncio.sleep(1.0)
         finding.cancel()
-        return sum(link.asked for link in pool.links.values())
+        return sum(link.request_count for link in pool.links.values())
 
     assert simulated(lambda loop: scene()) <= 4 * 1000.0 / FIND_INTERVAL_MS
--- a/tests/leader_startup.py
+++ b/tests/leader_startup.py
@@ -1,4 +1,4 @@
-"""What a new leader begins with, where the newest view that it is told of may be an old one."""
+"""The view that a new leader begins with, where the newest view reported to it may be out of date."""
 
 import msgspec
 
@@ -19,7 +19,7 @@
 
 
 def old_view(dispensable: tuple[str, ...] = ()) -> View:
-    """Shards are shared by all three in their incarnations `a1`, `b1`, `c1`, since epoch (3, 9)."""
+    """All three own shards since epoch (3, 9), in their incarnations `a1`, `b1`, `c1`."""
     owners = [ROSTER[shard % 3] for shard in range(SHARDS)]
     live_stores = {name: StoreInfo(f"{name}1", f"z{name}") for name in ROSTER}
     incarnations = [f"{owner}1" for owner in owners]
@@ -45,13 +45,13 @@
     )
 
 
-def renewal(name: str, incarnation: str, **said: object) -> RenewRequest:
-    about = {"role": "store", "zone": f"z{name}", "node": name, "update_number": 0, "term": 5}
-    return RenewRequest(incarnation=incarnation, **about, **said)
+def renewal(name: str, incarnation: str, **status: object) -> RenewRequest:
+    defaults = {"role": "store", "zone": f"z{name}", "node": name, "update_number": 0, "term": 5}
+    return RenewRequest(incarnation=incarnation, **defaults, **status)
 
 
 def lead(*joins: JoinRequest, at: float = 2000.0) -> Coordinator:
-    """A leader of term 5 that these have joined; it has applied nothing itself."""
+    """A leader of term 5 that these processes have joined; it has applied no view itself."""
     coordinator = Coordinator(1200.0)
     coordinator.become_leader(1000.0, 5, 900.0)
     coordinator.roster_changed(1000.0, list(ROSTER))
@@ -68,14 +68,15 @@
 def shows_a_store_cut_off_for_long_does_not_go_on_with_its_shards_when_all_who_know_more_were_killed() -> (
     None
 ):
-    """It was cut off under view (3, 9); the others served its shards, and were killed as it came back."""
+    """A store was partitioned under view (3, 9). The others served its shards, and were killed when it came
+    back, so that the newest view left is its own."""
     coordinator = lead(
         join("a", "a1", old_view(), 0.0), join("b", "b2", View(), 0.0), join("c", "c2", View(), 0.0)
     )
     assert not [shard for shard, owner in enumerate(coordinator.view.owners) if owner == "a"]
     all_acknowledge(coordinator)
-    its_own = [shard for shard, owner in enumerate(coordinator.view.owners) if owner == "a"]
-    assert its_own and all(coordinator.view.epochs[shard][0] == 5 for shard in its_own)
+    owned = [shard for shard, owner in enumerate(coordinator.view.owners) if owner == "a"]
+    assert owned and all(coordinator.view.epochs[shard][0] == 5 for shard in owned)
 
 
 def shows_stores_whose_leases_never_broke_go_on_with_their_shards() -> None:
@@ -86,7 +87,7 @@
 
 
 def shows_a_lease_that_may_have_ended_under_the_leader_before_counts_as_broken() -> None:
-    """That leader could grant, and give away what ran out, until 1,200 ms."""
+    """The earlier leader could grant leases, and reassign shards of expired ones, until 1,200 ms."""
     for joined_at, left_ms, is_unbroken in (
         (1010.0, 200.0, False),
         (1010.0, 300.0, True),
@@ -96,7 +97,7 @@
 
 
 def shows_what_can_be_done_without_is_believed_only_of_a_view_that_is_not_old() -> None:
-    """By view (3, 9) nothing is needed on c's disk; c may have been back since."""
+    """View (3, 9) says that no replica on c is needed; c may have come back since."""
     for lease_left_ms, dispensable in ((0.0, []), (LEASE_LEFT_MS, ["c"])):
         view = old_view(dispensable=("c",))
         del view.live_stores["c"]
@@ -106,7 +107,7 @@
 
 
 def shows_nothing_is_done_without_stores_that_have_not_come_back_where_nobody_knows_any_view() -> None:
-    """All were killed. The first to come back has everything, and has said nothing yet."""
+    """All were killed. The first one to come back has all messages, but has not reported that yet."""
     coordinator = lead(join("a", "a2", View(), 0.0))
     for name in "bc":
         coordinator.process_ended(2001.0, name)
@@ -124,12 +125,12 @@
     without_shards = coordinator.view.number
     all_acknowledge(coordinator)
     assert coordinator.view.owners.count("a") == SHARDS
-    for said, dispensable in ((without_shards, []), (coordinator.view.number, ["b", "c"])):
-        assert coordinator.renewed(2020.0, "a", renewal("a", "a2", safe=said))
-        for now in (2020.0, 2021.0):  # what was told is in the next view
+    for reported, dispensable in ((without_shards, []), (coordinator.view.number, ["b", "c"])):
+        assert coordinator.renewed(2020.0, "a", renewal("a", "a2", safe=reported))
+        for now in (2020.0, 2021.0):  # what was reported is in the next view
             all_acknowledge(coordinator)
             coordinator.tick(now)
-        assert coordinator.view.dispensable == dispensable, said
+        assert coordinator.view.dispensable == dispensable, reported
 
 
 def shows_a_store_that_lost_its_disk_is_complete_only_once_owners_compared_all_that_they_own() -> None:
@@ -140,13 +141,15 @@
     for now in (2310.0, 2320.0, 2330.0):
         all_acknowledge(coordinator)
         coordinator.tick(now)
-    newest = max(coordinator.view.epochs)  # a and b have got c's shards
+    newest = max(coordinator.view.epochs)  # since when a and b own c's shards
     assert not coordinator.view.live_stores["c"].complete and newest > (3, 9)
-    for said, complete in (((3, 9), False), (newest, True)):
+    for reported, complete in (((3, 9), False), (newest, True)):
         for name in "ab":
-            assert coordinator.renewed(2340.0, name, renewal(name, f"{name}1", safe=said, audits={"c": "c2"}))
+            assert coordinator.renewed(
+                2340.0, name, renewal(name, f"{name}1", safe=reported, audits={"c": "c2"})
+            )
         coordinator.tick(2340.0)
-        assert coordinator.members["c"].complete == complete, said
+        assert coordinator.members["c"].complete == complete, reported
 
 
 def shows_an_edge_vouches_for_a_view_as_a_store_does() -> None:
@@ -161,8 +164,8 @@
 
 def shows_a_replica_accepted_under_a_later_owner_is_not_dropped_for_an_earlier_one() -> None:
     queue: Queue = with_a_message_out()
-    kept = queue.state.messages["00-a"]
-    later = kept.copy_request(0.0, (2, 5))
+    message = queue.state.messages["00-a"]
+    later = message.copy_request(0.0, (2, 5))
     later = msgspec.structs.replace(later, ref="01-z", shard=1, position=((2, 5), 1))
     queue.state.owned.pop(1)
     queue.state.messages["01-z"] = replica_of(0.0, later, b"x")
@@ -180,7 +183,7 @@
 
 
 def shows_a_leader_that_believes_an_old_view_is_found_by_the_walk() -> None:
-    """Planted: whoever joins goes on with what it owned by the newest view that is told of."""
+    """Planted mistake: a store that joins keeps the shards that it owned in the newest reported view."""
     unbroken = LeaderStartup.lease_is_unbroken
     LeaderStartup.lease_is_unbroken = lambda self, now, lease_left_ms: True
     try:
@@ -195,7 +198,7 @@
 
 
 def shows_stores_that_come_at_once_are_told_of_in_few_views() -> None:
-    """Of 200 members half have applied a view before the next one goes out; none waits for long."""
+    """Of 200 members half must have applied a view before the next one is sent, within a time limit."""
     coordinator = lead(*(join(name, f"{name}1", old_view(), LEASE_LEFT_MS) for name in ROSTER))
     for number in range(197):
         edge = JoinRequest(incarnation="e1", role="edge", zone="z", node=f"e{number}", view=old_view())
@@ -209,16 +212,16 @@
         coordinator.joined(2004.0, f"n{at}", join(f"n{at}", f"n{at}1", View(), 0.0))
     assert coordinator.view.number[1] - before[1] == 1
     assert not coordinator.tick(2003.0 + MAX_WAIT_MS - 10.0)
-    told = coordinator.tick(2003.0 + MAX_WAIT_MS)
-    assert len(coordinator.view.live_stores) == 10 and len(views_in(told)) == 207
-    # Sooner where members are quick.
-    quick = coordinator.update_number
+    effects = coordinator.tick(2003.0 + MAX_WAIT_MS)
+    assert len(coordinator.view.live_stores) == 10 and len(views_in(effects)) == 207
+    # The next view is sent sooner if members apply the last one quickly.
+    last_update = coordinator.update_number
     coordinator.members["n0"].leaving = True
     assert not coordinator.tick(2260.0)
     for number in range(103):
-        told = coordinator.acknowledged(2260.0, f"e{number}", "e1", quick)
-        assert not views_in(told), number
-    assert views_in(coordinator.acknowledged(2260.0, "e103", "e1", quick))
+        effects = coordinator.acknowledged(2260.0, f"e{number}", "e1", last_update)
+        assert not views_in(effects), number
+    assert views_in(coordinator.acknowledged(2260.0, "e103", "e1", last_update))
     assert coordinator.view.live_stores["n0"].leaving
 
 
@@ -229,12 +232,12 @@
 def shows_a_renewal_that_says_what_was_said_before_looks_at_nobody_else() -> None:
     coordinator = lead(*(join(name, f"{name}1", old_view(), LEASE_LEFT_MS) for name in ROSTER))
     all_acknowledge(coordinator)
-    looks = []
-    coordinator.tick = lambda now: looks.append(now) or []
+    ticks = []
+    coordinator.tick = lambda now: ticks.append(now) or []
     for safe, expected in (((5, 1), 1), ((5, 1), 1), ((5, 2), 2), ((5, 1), 2)):
         assert coordinator.renewed(2020.0, "a", renewal("a", "a1", safe=safe))
         coordinator.after_renewals(2020.0)
-        assert len(looks) == expected, safe
+        assert len(ticks) == expected, safe
 
 
 def shows_updates_go_to_members_alone_while_shards_wait_for_all_to_hear() -> None:
--- a/tests/tenant_configuration.py
+++ b/tests/tenant_configuration.py
@@ -1,7 +1,7 @@
-"""Tenants and their keys in the configuration: what may stand there, and from when on a change is in force.
+"""Tenants and their API keys in the configuration: validation, and when a change comes into force.
 
-An edge is driven by itself, on a connection that stays open; whether a configuration is taken is decided
-without a network. Design: docs/tenants.md.
+The tests drive a single edge over a connection that stays open; configurations are validated without a
+network. Design: docs/tenants.md.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 def document(revision: int, *tenants: Document, public: bool | None = None) -> Document:
-    """One route and one service; `tenants` stands there where any is given."""
+    """One route and one backend; `tenants` is present if any is given."""
     route = {"name": "r", "hostname": "h", "pathPrefix": "/b", "backend": "b", "deadlineMs": 1000}
     if public is not None:
         route["public"] = public
@@ -58,11 +58,12 @@
         self._sent = 0
 
     def configure(self, doc: Document) -> None:
-        """Another version is in force at the edge."""
+        """Applies another version at the edge."""
         self.gate.configuration_changed(ConfigurationVersion(doc["revision"], doc))
 
     def let_configuration_lapse(self, apply_ms: float) -> None:
-        """The lease ended so long ago that this configuration may be an old one, by that bound."""
+        """Ends the configuration lease so long ago that, by that bound, the configuration may be out of
+        date."""
         elapsed_ms = configuration_until(0.0, apply_ms)
         self.gate.member.configuration_lease = self.gate.runtime.now() - elapsed_ms
 
@@ -86,7 +87,7 @@
 
 
 def on_a_connection(first: Document, scene: Callable[[OpenConnection], Coroutine]) -> None:
-    """Plays a scene under a simulated clock."""
+    """Runs a scene on a simulated clock."""
 
     async def play(loop: asyncio.AbstractEventLoop) -> None:
         await scene(OpenConnection(first))
@@ -169,7 +170,7 @@
         client.let_configuration_lapse(min(APPLY_MS, REVOKE_MS))
         for key in (KEY, "unknown", None):
             assert await client.status(key) == 503, key
-            # The state of a message is told by a key too.
+            # The state of a message needs a key too.
             for path in ("/v1/message/", "/v1/message-body/"):
                 assert await client.status(key, path + message_ref(7, "a", "id"), "GET") == 503, (key, path)
         assert not client.store.puts
@@ -206,7 +207,7 @@
     on_a_connection(document(1, tenant("a", KEY)), scene)
 
 
-# What may stand there
+# Validation
 
 
 def answer_to(state: State, kind: OrderKind, base: int, body: Document) -> tuple[int, str]:
@@ -271,7 +272,7 @@
 
 
 def shows_no_text_of_a_refusal_names_a_key() -> None:
-    # A configuration refused for something else of a tenant tells its sender, and the log, none of its keys.
+    # A refusal for another reason must not reveal a tenant's keys to the sender or in the log.
     for tenants in (
         [tenant("a", KEY), tenant("a", KEY)],
         [tenant("a", KEY), tenant("b", KEY)],
@@ -292,18 +293,18 @@
     # A valid change of tenants was refused where the configuration had named none.
     for first in (document(1), document(1) | {"tenants": []}, document(1, tenant("z", "key-of-z"))):
         doc = first
-        kept = first.get("tenants", [])
+        present = first.get("tenants", [])
         for change, wanted in (
-            ({"upsert": {"tenants": [tenant("a", KEY)]}}, [*kept, tenant("a", KEY)]),
-            ({"upsert": {"tenants": [tenant("a", LATER_KEY)]}}, [*kept, tenant("a", LATER_KEY)]),
-            ({"upsert": {"tenants": [tenant("a")]}}, [*kept, tenant("a")]),
-            ({"remove": {"tenants": ["a"]}}, kept),
+            ({"upsert": {"tenants": [tenant("a", KEY)]}}, [*present, tenant("a", KEY)]),
+            ({"upsert": {"tenants": [tenant("a", LATER_KEY)]}}, [*present, tenant("a", LATER_KEY)]),
+            ({"upsert": {"tenants": [tenant("a")]}}, [*present, tenant("a")]),
+            ({"remove": {"tenants": ["a"]}}, present),
         ):
             doc = amended(doc, {"revision": doc["revision"] + 1, **change})
             check(doc)
             assert doc["tenants"] == wanted, (change, doc["tenants"])
             assert orjson.loads(orjson.dumps(doc)) == doc
-    # With no tenants named there is none to remove, and the rest of the change holds.
+    # Without tenants there is none to remove, and the rest of the change applies.
     doc = amended(document(1), {"revision": 2, "remove": {"tenants": ["a"]}})
     assert not doc.get("tenants") and check(doc).revision == 2
 
