--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -46,7 +46,7 @@
 # Voters
 
 
-def shows_a_seat_is_handed_on_only_to_a_store_that_is_there_to_take_it() -> None:
+def shows_a_vote_is_moved_only_to_a_store_that_is_available() -> None:
     for voters, there, losses, wanted in (
         ("abc", stores("a b c", S, S, G), 1, "abc"),  # no replacement: it keeps its vote
         ("abc", stores("a b c d", S, S, G), 1, "abd"),
@@ -112,7 +112,7 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True, database=None)
 @given(fleets())
-def shows_no_selection_gives_up_a_seat_that_is_needed(fleet) -> None:
+def shows_no_selection_removes_a_vote_that_is_needed(fleet) -> None:
     voters, there, tolerance = fleet
     found = select_voters(voters, there, tolerance)
     by_name = {one.name: one for one in there}
@@ -158,7 +158,7 @@
     assert tracker.presence_of(61_700.0, "a", False) is U and tracker.presence_of(61_800.0, "a", False) is G
 
 
-def shows_a_new_leader_knows_from_the_view_who_had_said_that_it_leaves() -> None:
+def shows_a_new_leader_knows_from_the_view_which_stores_had_announced_leaving() -> None:
     tracker = PresenceTracker(1760.0)
     tracker.observe(0.0, {"a": StoreInfo("a.1", "z", leaving=True), "b": StoreInfo("b.1", "z")}, "ab")
     assert tracker.presence_of(0.0, "a", False) is G and tracker.presence_of(0.0, "b", False) is U
@@ -207,7 +207,7 @@
         assert found == status, (node, there, found)
 
 
-def shows_a_store_that_leaves_is_done_without_as_soon_as_its_copies_are_elsewhere() -> None:
+def shows_a_store_that_leaves_is_removed_as_soon_as_its_replicas_are_elsewhere() -> None:
     coordinator = Coordinator(1200.0, 1760.0)
     coordinator.become_leader(0.0, 1)
     coordinator.roster_changed(0.0, ["a", "b", "c"])
@@ -466,7 +466,7 @@
     walk.run(walk.now + 3000.0)
 
 
-def shows_a_loss_just_as_a_newcomer_takes_a_seat_leaves_a_majority() -> None:
+def shows_a_loss_just_as_a_new_voter_is_added_leaves_a_majority() -> None:
     found = 0
     for seed in range(10):
         lost_as_one_comes(seed, MembershipSimulation)
--- a/tests/control_serving.py
+++ b/tests/control_serving.py
@@ -36,7 +36,7 @@
         simulated(lambda loop, apply_ms=apply_ms: scene(apply_ms))
 
 
-def shows_a_store_sends_callers_to_no_leader_that_it_has_not_heard_of_late() -> None:
+def shows_a_store_redirects_to_no_leader_that_has_not_responded_recently() -> None:
     async def scene() -> None:
         control, clock = core()
         control._host.member.leader = "s01"
@@ -80,7 +80,7 @@
         return self.links[name]
 
 
-def shows_two_that_take_each_other_for_the_leader_are_not_asked_without_end() -> None:
+def shows_two_members_that_name_each_other_as_leader_are_not_asked_endlessly() -> None:
     async def scene() -> int:
         pool = ReferringPool()
         member = MemberClient(pool, "me", lambda: STATUS, lambda: ["a"], Silence())
--- a/tests/control_workers.py
+++ b/tests/control_workers.py
@@ -108,7 +108,7 @@
     assert {worker.id: worker.phase for worker in coordinator.workers.values()} == known
 
 
-def shows_a_store_does_not_unlearn_that_a_worker_drains_or_left() -> None:
+def shows_a_store_does_not_forget_that_a_worker_drains_or_left() -> None:
     async def scene() -> None:
         scene = Scene()
         member: MemberClient = scene.member
@@ -131,7 +131,7 @@
     asyncio.run(scene())
 
 
-def shows_a_departure_is_told_to_the_next_leader_and_forgotten_after_a_minute() -> None:
+def shows_a_departure_is_reported_to_the_next_leader_and_forgotten_after_a_minute() -> None:
     table = WorkerTable()
     table.put(0.0, entry(1, DRAINING))
     table.remove(0.0, "w", left=False)
--- a/tests/leader_startup.py
+++ b/tests/leader_startup.py
@@ -96,7 +96,7 @@
         assert LeaderStartup(1000.0, 900.0).lease_is_unbroken(joined_at, left_ms) == is_unbroken, joined_at
 
 
-def shows_what_can_be_done_without_is_believed_only_of_a_view_that_is_not_old() -> None:
+def shows_dispensable_stores_are_taken_only_from_a_recent_view() -> None:
     """View (3, 9) says that no replica on c is needed; c may have come back since."""
     for lease_left_ms, dispensable in ((0.0, []), (LEASE_LEFT_MS, ["c"])):
         view = old_view(dispensable=("c",))
@@ -106,7 +106,7 @@
         assert coordinator.view.dispensable == dispensable, lease_left_ms
 
 
-def shows_nothing_is_done_without_stores_that_have_not_come_back_where_nobody_knows_any_view() -> None:
+def shows_no_absent_store_is_dispensable_where_no_member_has_a_view() -> None:
     """All were killed. The first one to come back has all messages, but has not reported that yet."""
     coordinator = lead(join("a", "a2", View(), 0.0))
     for name in "bc":
@@ -118,7 +118,7 @@
     assert coordinator.view.dispensable == []
 
 
-def shows_what_an_owner_said_before_it_had_its_shards_speaks_for_none_of_their_messages() -> None:
+def shows_a_report_from_before_an_owner_had_its_shards_is_ignored() -> None:
     coordinator = lead(join("a", "a2", View(), 0.0))
     for name in "bc":
         coordinator.process_ended(2001.0, name)
@@ -152,7 +152,7 @@
         assert coordinator.members["c"].complete == complete, reported
 
 
-def shows_an_edge_vouches_for_a_view_as_a_store_does() -> None:
+def shows_an_edge_with_an_unbroken_lease_confirms_a_view_as_a_store_does() -> None:
     start, view = LeaderStartup(1000.0, 900.0), old_view()
     edge = Member("e1", "edge", "z", "e", "", 2000.0, lease_is_unbroken=True)
     start.joined("e", edge, view)
@@ -182,7 +182,7 @@
         Simulation(seed, **RELIEVED).play()
 
 
-def shows_a_leader_that_believes_an_old_view_is_found_by_the_walk() -> None:
+def shows_a_leader_that_trusts_an_old_view_is_found_by_the_simulation() -> None:
     """Planted mistake: a store that joins keeps the shards that it owned in the newest reported view."""
     unbroken = LeaderStartup.lease_is_unbroken
     LeaderStartup.lease_is_unbroken = lambda self, now, lease_left_ms: True
@@ -197,7 +197,7 @@
         LeaderStartup.lease_is_unbroken = unbroken
 
 
-def shows_stores_that_come_at_once_are_told_of_in_few_views() -> None:
+def shows_stores_that_join_together_are_announced_in_few_views() -> None:
     """Of 200 members half must have applied a view before the next one is sent, within a time limit."""
     coordinator = lead(*(join(name, f"{name}1", old_view(), LEASE_LEFT_MS) for name in ROSTER))
     for number in range(197):
@@ -229,7 +229,7 @@
     return [one for one in effects if isinstance(one, SendUpdate) and one.update.view is not None]
 
 
-def shows_a_renewal_that_says_what_was_said_before_looks_at_nobody_else() -> None:
+def shows_a_renewal_without_a_change_does_not_tick_the_coordinator() -> None:
     coordinator = lead(*(join(name, f"{name}1", old_view(), LEASE_LEFT_MS) for name in ROSTER))
     all_acknowledge(coordinator)
     ticks = []
@@ -240,7 +240,7 @@
         assert len(ticks) == expected, safe
 
 
-def shows_updates_go_to_members_alone_while_shards_wait_for_all_to_hear() -> None:
+def shows_updates_go_only_to_members_while_shards_await_all_stores() -> None:
     coordinator = lead(join("a", "a1", old_view(), 0.0), join("b", "b2", View(), 0.0))
     effects = coordinator.joined(2005.0, "c", join("c", "c2", View(), 0.0))
     assert {one.member for one in views_in(effects)} == set(ROSTER)
--- a/tests/tenant_configuration.py
+++ b/tests/tenant_configuration.py
@@ -164,7 +164,7 @@
     on_a_connection(document(1, tenant("a", KEY)), scene)
 
 
-def shows_an_edge_judges_no_key_by_a_configuration_that_may_be_an_old_one() -> None:
+def shows_an_edge_checks_no_key_against_a_configuration_that_may_be_outdated() -> None:
     # CONFIG: an edge without a lease for long ran a revoked key, or refused one that had been added.
     async def scene(client: OpenConnection) -> None:
         client.let_configuration_lapse(min(APPLY_MS, REVOKE_MS))
@@ -178,7 +178,7 @@
     on_a_connection(document(1, tenant("a", KEY)), scene)
 
 
-def shows_a_key_is_judged_by_the_shorter_of_both_bounds() -> None:
+def shows_a_key_is_checked_by_the_shorter_of_both_bounds() -> None:
     # CONFIG: where keys must be gone sooner than routes, an edge acted on them until the routes' bound.
     async def scene(client: OpenConnection) -> None:
         bounds = client.gate.runtime.settings.rule_bounds
@@ -191,7 +191,7 @@
     on_a_connection(document(1, tenant("a", KEY)), scene)
 
 
-def shows_a_message_s_state_is_told_by_a_key_of_the_version_in_force() -> None:
+def shows_a_message_s_state_is_readable_with_a_key_of_the_version_in_force() -> None:
     # CONFIG: a state was told to a key that had been taken away, or refused to one that had been added.
     async def scene(client: OpenConnection) -> None:
         client.store.answers = [{"kept": True}]
