--- a/sableford/store/choice.py
+++ b/sableford/store/choice.py
@@ -1,9 +1,9 @@
-"""Which worker takes the next delivery: the design's decision, as one store makes it. No I/O.
+"""Selects the worker for the next delivery, from one store's view of the load. No I/O.
 
-A worker's estimate is its reported figure (what the other stores last said to have in flight there) plus
-own sends less own completions. The rotation and the local bound are the module's
-(`sableford.policy.bound`); what is asked for anew are copies that break it. Departures, each with its
-condition, stand in `docs/design.md`.
+A worker's estimated load is the number of deliveries that the other stores last reported in flight there,
+plus this store's own deliveries in flight. A rotation names a candidate, which is taken if its load is within
+a local bound of the lowest (`sableford.policy.bound`); counts that violate the bound are requested again.
+`docs/design.md` lists where this departs from the published algorithm, and under which conditions.
 """
 
 from typing import NamedTuple
@@ -11,18 +11,25 @@
 from sableford.policy.bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, breaks, point, within
 from sableford.transport.routes import Table
 
-CROSSING = 1.0  # jobs added to a worker in another zone: a body that crosses costs 2% of its worth
-SLACK = 0.5  # jobs that a copy may be off before a worker counts as full
-COLD = 0.5  # jobs added to a worker that is cold: it is slower for some seconds
-TRIAL_MS = 250.0  # ms until a worker that gave no sign is tried again, doubling with each failure
-TRIAL_MOST = 2000.0
-FIXED_FIRST = 4.0  # deliveries at once to a service at one address, of which nothing tells its size: one
-FIXED_LESS = 0.7  # more for each window of successes, so much less where one is turned away
-FIXED_REST = 100.0  # ms until it is taken for less again: what was sent together is turned away together
-FAULTS = 2  # breaks in a row: one lost answer says little of a worker
+# Jobs added for a worker in another zone: a body that crosses zones costs 2% of its worth.
+CROSS_ZONE_PENALTY = 1.0
+CAPACITY_SLACK = 0.5  # jobs by which a reported count may be off before a worker counts as full
+WARM_UP_PENALTY = 0.5  # jobs added for a worker that is warming up: it is slower for some seconds
+EJECTION_MS = 250.0  # ms until an unresponsive worker is tried again; doubles with each failure
+MAX_EJECTION_MS = 2000.0
+# A fixed endpoint does not report its capacity, so the number of deliveries in flight there is limited by a
+# window with additive increase and multiplicative decrease: one more for each window of successes, times
+# WINDOW_DECREASE for a rejection.
+INITIAL_WINDOW = 4.0
+WINDOW_DECREASE = 0.7
+# At most one decrease in this time: requests that were sent together are rejected together.
+WINDOW_DECREASE_INTERVAL_MS = 100.0
+EJECTION_FAILURES = 2  # consecutive failures before ejection: one lost response says little about a worker
 
 
 class WorkerEntry(NamedTuple):
+    """A worker's registration: its address, zone and capacity."""
+
     id: str
     backend: str
     host: str
@@ -30,85 +37,91 @@
     zone: str
     capacity: int
     ready: bool
-    fixed: bool = False  # a service at one address, on no list: `capacity` is the connections it takes
+    fixed: bool = False  # a configured endpoint that does not register; `capacity` is its connection limit
 
 
 class Worker:
+    """The load and health of one worker, as seen by this store."""
+
     __slots__ = (
-        "asked_at",
-        "cold_until",
-        "cut_at",
-        "doubt_until",
+        "consecutive_failures",
+        "ejected_until",
         "entry",
-        "failures",
-        "heard_at",
-        "own",
-        "theirs",
-        "told",
+        "others_in_flight",
+        "own_in_flight",
+        "refresh_requested_at",
+        "reported_at",
+        "reported_counts",
+        "warming_up_until",
         "window",
+        "window_reduced_at",
     )
 
     def __init__(self, entry: WorkerEntry, now: float) -> None:
-        self.entry, self.own, self.theirs = entry, 0, 0
-        self.told: dict[str, int] = {}  # what each other store has in flight here
-        self.heard_at = now
-        self.asked_at = -1e12
-        self.doubt_until, self.failures = 0.0, 0
-        self.cold_until = 0.0
-        self.window, self.cut_at = FIXED_FIRST, -1e12
+        self.entry, self.own_in_flight, self.others_in_flight = entry, 0, 0
+        self.reported_counts: dict[str, int] = {}  # deliveries in flight here, by other store
+        self.reported_at = now
+        self.refresh_requested_at = -1e12
+        self.ejected_until, self.consecutive_failures = 0.0, 0
+        self.warming_up_until = 0.0
+        self.window, self.window_reduced_at = INITIAL_WINDOW, -1e12
 
-    def full(self) -> bool:
-        if self.entry.fixed:  # what others have there is not of its window
-            return self.own + 1 > min(self.window, self.entry.capacity) + SLACK
-        return self.jobs() + 1 > self.entry.capacity + SLACK
+    def is_full(self) -> bool:
+        if self.entry.fixed:  # the window limits only the deliveries of this store
+            return self.own_in_flight + 1 > min(self.window, self.entry.capacity) + CAPACITY_SLACK
+        return self.in_flight() + 1 > self.entry.capacity + CAPACITY_SLACK
 
-    def jobs(self) -> int:
-        return self.own + self.theirs
+    def in_flight(self) -> int:
+        return self.own_in_flight + self.others_in_flight
 
 
 class Choice:
-    """The workers as one store knows them."""
+    """The workers as seen by one store. `seed` makes the random choices reproducible."""
 
     def __init__(self, zone: str, seed: str) -> None:
-        self.zone, self._seed, self._draws = zone, seed, 0
+        self.zone, self._seed, self._random_draws = zone, seed, 0
         self.workers: dict[str, Worker] = {}
-        self._by: dict[str, list[Worker]] = {}
-        self._turn = -1
-        self.changed: set[str] = set()  # workers whose own count is to be told
-        self.stale: set[str] = set()  # workers whose copies are to be refreshed
+        self._ready_by_backend: dict[str, list[Worker]] = {}
+        self._rotation = -1
+        self.changed: set[str] = set()  # workers whose in-flight count is to be reported
+        self.stale: set[str] = set()  # workers whose counts are to be requested from the other stores
 
-    def _chance(self, ends: int) -> int:
-        self._draws += 1
-        return point(f"{self._seed}:{self._draws}".encode()) * ends >> 32
+    def _random_below(self, bound: int) -> int:
+        self._random_draws += 1
+        return point(f"{self._seed}:{self._random_draws}".encode()) * bound >> 32
 
-    # The list
+    # Registration
 
-    def put(self, now: float, entry: WorkerEntry, cold_ms: float) -> None:
+    def put(self, now: float, entry: WorkerEntry, warm_up_ms: float) -> None:
+        """Adds a worker or updates its registration; it is warming up for `warm_up_ms`."""
         known = self.workers.get(entry.id)
         if known is not None:
             known.entry = entry
         else:
             known = self.workers[entry.id] = Worker(entry, now)
-            # One not yet heard of starts at the others' mean.
-            peers = self._by.get(entry.backend, ())
-            known.theirs = 0 if not peers else round(sum(one.theirs for one in peers) / len(peers))
-            known.told["?"] = known.theirs
-            self.stale.add(entry.id)  # a guess that it is full would stand as long as nobody sends there
-        known.cold_until = now + cold_ms
-        known.doubt_until, known.failures = 0.0, 0
-        self._sort()
+            # Without a report yet, a new worker starts at the mean of its backend's workers.
+            others = self._ready_by_backend.get(entry.backend, ())
+            known.others_in_flight = (
+                0 if not others else round(sum(one.others_in_flight for one in others) / len(others))
+            )
+            known.reported_counts["?"] = known.others_in_flight
+            self.stale.add(entry.id)  # a wrong guess of full would persist while no store sends there
+        known.warming_up_until = now + warm_up_ms
+        known.ejected_until, known.consecutive_failures = 0.0, 0
+        self._rebuild_index()
 
     def drop(self, id: str) -> None:
+        """Removes a worker, if it is known."""
         if self.workers.pop(id, None) is not None:
-            self._sort()
+            self._rebuild_index()
 
     def keep(self, ids: set[str]) -> None:
-        """Of those on the list just these are left."""
+        """Removes all registered workers but these. Fixed endpoints stay."""
         for id in [id for id, one in self.workers.items() if id not in ids and not one.entry.fixed]:
             self.drop(id)
 
     def fix(self, now: float, table: Table) -> None:
-        """Services at one address, by the configuration; they sit on no list."""
+        """Applies the fixed endpoints of the configuration, which do not register as workers."""
         fixed = {f"@{one.name}": one for one in table.backends.values() if one.endpoint}
         for id, known in list(self.workers.items()):
             if known.entry.fixed and id not in fixed:
@@ -119,84 +132,97 @@
             if id not in self.workers or self.workers[id].entry != entry:
                 self.put(now, entry, 0.0)
 
-    def _sort(self) -> None:
-        self._by = {}
+    def _rebuild_index(self) -> None:
+        self._ready_by_backend = {}
         for worker in self.workers.values():
             if worker.entry.ready:
-                self._by.setdefault(worker.entry.backend, []).append(worker)
+                self._ready_by_backend.setdefault(worker.entry.backend, []).append(worker)
 
     def slots(self, backend: str) -> int:
-        return sum(one.entry.capacity for one in self._by.get(backend, ()))
+        return sum(one.entry.capacity for one in self._ready_by_backend.get(backend, ()))
 
-    # Figures
+    # Counts
 
     def told(self, now: float, store: str, counts: dict[str, int]) -> None:
-        """What another store has in flight now, worker by worker."""
+        """Records how many deliveries another store has in flight, by worker."""
         for id, count in counts.items():
             worker = self.workers.get(id)
             if worker is not None:
-                guess = worker.told.pop("?", 0)
-                worker.theirs += count - worker.told.get(store, 0) - guess
-                worker.told[store] = count
-                worker.heard_at = now
+                guess = worker.reported_counts.pop("?", 0)
+                worker.others_in_flight += count - worker.reported_counts.get(store, 0) - guess
+                worker.reported_counts[store] = count
+                worker.reported_at = now
 
     def forget(self, store: str) -> None:
-        """Who is gone has nothing in flight that anyone waits for."""
+        """Discards the counts of a store that is gone: nobody waits for its deliveries any more."""
         for worker in self.workers.values():
-            worker.theirs -= worker.told.pop(store, 0)
+            worker.others_in_flight -= worker.reported_counts.pop(store, 0)
 
     def own_counts(self, ids: set[str] | None = None) -> dict[str, int]:
-        return {id: worker.own for id, worker in self.workers.items() if ids is None or id in ids}
+        return {id: worker.own_in_flight for id, worker in self.workers.items() if ids is None or id in ids}
 
-    # The decision
+    # Selection
 
     def choose(self, now: float, backend: str, avoid: str = "") -> Worker | None:
-        """The worker that takes the next delivery; none where all are full by the copies."""
-        pool = self._by.get(backend, ())
-        fit = [one for one in pool if one.doubt_until <= now and not (one.failures >= FAULTS and one.own)]
-        if avoid and len(fit) > 1:
-            fit = [one for one in fit if one.entry.id != avoid] or fit
-        indices = []
-        for one in fit:
-            if one.full():
+        """Returns the worker for the next delivery, or None if all count as full."""
+        ready = self._ready_by_backend.get(backend, ())
+        eligible = [
+            one
+            for one in ready
+            if one.ejected_until <= now
+            and not (one.consecutive_failures >= EJECTION_FAILURES and one.own_in_flight)
+        ]
+        if avoid and len(eligible) > 1:
+            eligible = [one for one in eligible if one.entry.id != avoid] or eligible
+        loads = []
+        for one in eligible:
+            if one.is_full():
                 continue
-            index = float(one.own + one.theirs)
+            load = float(one.own_in_flight + one.others_in_flight)
             if one.entry.zone != self.zone:
-                index += CROSSING
-            if one.cold_until > now:
-                index += COLD
-            indices.append((index, one))
-        if not indices:
+                load += CROSS_ZONE_PENALTY
+            if one.warming_up_until > now:
+                load += WARM_UP_PENALTY
+            loads.append((load, one))
+        if not loads:
             return None
-        if self._turn < 0:
-            self._turn = self._chance(len(indices))
-        self._turn += 1
-        index, named = indices[self._turn % len(indices)]
+        if self._rotation < 0:
+            self._rotation = self._random_below(len(loads))
+        self._rotation += 1
+        load, candidate = loads[self._rotation % len(loads)]
         bound = IMBALANCE - UNCERTAINTY
-        for below, one in breaks(indices, index - bound, lambda one: now - one.heard_at > AGE_LIMIT):
-            del below
-            if now - one.asked_at >= AGE_LIMIT:
-                one.asked_at = now
+        for lower_load, one in breaks(loads, load - bound, lambda one: now - one.reported_at > AGE_LIMIT):
+            del lower_load
+            if now - one.refresh_requested_at >= AGE_LIMIT:
+                one.refresh_requested_at = now
                 self.stale.add(one.entry.id)
-        return within(indices, index, named, bound, self._chance)
+        return within(loads, load, candidate, bound, self._random_below)
 
     def sent(self, worker: Worker) -> None:
-        worker.own += 1
+        """Records the start of a delivery."""
+        worker.own_in_flight += 1
         self.changed.add(worker.entry.id)
 
-    def finished(self, now: float, worker: Worker, answered: bool, gone: bool, turned: bool = False) -> None:
-        """A delivery there is over: whether the worker has answered it, whether it was not to be reached,
-        and whether it was turned away."""
-        worker.own = max(0, worker.own - 1)
+    def finished(
+        self, now: float, worker: Worker, responded: bool, unreachable: bool, rejected: bool = False
+    ) -> None:
+        """Records the end of a delivery.
+
+        `responded`: the worker sent a response; `unreachable`: there was no connection to it; `rejected`: the
+        message was not run.
+        """
+        worker.own_in_flight = max(0, worker.own_in_flight - 1)
         if worker.entry.fixed:
-            if answered and not turned:
+            if responded and not rejected:
                 worker.window += 1.0 / worker.window
-            elif now - worker.cut_at > FIXED_REST:
-                worker.window, worker.cut_at = max(1.0, FIXED_LESS * worker.window), now
+            elif now - worker.window_reduced_at > WINDOW_DECREASE_INTERVAL_MS:
+                worker.window, worker.window_reduced_at = max(1.0, WINDOW_DECREASE * worker.window), now
         self.changed.add(worker.entry.id)
-        if answered:
-            worker.failures, worker.doubt_until = 0, 0.0
+        if responded:
+            worker.consecutive_failures, worker.ejected_until = 0, 0.0
             return
-        worker.failures += 1
-        if gone or worker.failures >= FAULTS:
-            worker.doubt_until = now + min(TRIAL_MOST, TRIAL_MS * 2.0 ** (worker.failures - 1))
+        worker.consecutive_failures += 1
+        if unreachable or worker.consecutive_failures >= EJECTION_FAILURES:
+            worker.ejected_until = now + min(
+                MAX_EJECTION_MS, EJECTION_MS * 2.0 ** (worker.consecutive_failures - 1)
+            )
--- a/sableford/store/delivery_results.py
+++ b/sableford/store/delivery_results.py
@@ -1,5 +1,7 @@
-"""What becomes of deliveries: a verdict on an own message decides its next state; one on a message whose
-shard has gone to another store is reported to its new owner until that one knows. No I/O.
+"""Applies the verdicts of deliveries. No I/O.
+
+A verdict on a message that this store owns decides the message's next state. A verdict on a message whose
+shard has moved to another store is reported to the new owner until that one confirms it.
 """
 
 from sableford.store.choice import Choice
@@ -11,15 +13,15 @@
 from sableford.store.queue_state import COMPLETE, DEAD_LETTER, QueueState
 from sableford.transport.verdict import Execution, Verdict
 
-NOT_RUN_BACKOFF_MS = 15.0  # before a delivery that did not run is tried again, doubling
+NOT_RUN_BACKOFF_MS = 15.0  # backoff after an attempt that did not run; doubles with each
 MAX_NOT_RUN_BACKOFF_MS = 400.0
-FAILED_BACKOFF_MS = 20.0  # before one that failed is tried again, doubling
-REPORT_AGAIN_MS = 80.0  # before the owner is told again how a delivery of the one before it has ended
-FINAL = (Execution.DONE, Execution.IMPOSSIBLE)
+FAILED_BACKOFF_MS = 20.0  # backoff after an attempt that failed; doubles with each
+REPORT_RETRY_MS = 80.0  # until an unconfirmed result is reported to the owner again
+FINAL_EXECUTIONS = (Execution.DONE, Execution.IMPOSSIBLE)
 
 
 class DeliveryResults:
-    """Verdicts on deliveries, from here and from earlier owners."""
+    """Handles the verdicts of deliveries sent from here and by previous owners."""
 
     def __init__(
         self,
@@ -31,13 +33,13 @@
     ) -> None:
         self._state, self._choice, self._order = state, choice, order
         self._endings, self._final_states = endings, final_states
-        self._unreported: dict[str, Verdict] = {}  # by ref, until the owner knows
+        self._unreported: dict[str, Verdict] = {}  # by ref, until the owner has confirmed them
         self._reported_at = 0.0
 
     def delivered(self, now: float, ref: str, worker: str, verdict: Verdict) -> None:
-        """A delivery from here is over."""
+        """Handles the end of a delivery that was sent from here."""
         state = self._state
-        self._note_worker(now, worker, verdict)
+        self._record_worker_outcome(now, worker, verdict)
         shard = state.in_flight.pop(ref, None)
         message = state.messages.get(ref)
         if message is not None and message.state is State.IN_FLIGHT and state.owns(message):
@@ -45,13 +47,17 @@
             self._apply(now, message, verdict)
         elif shard is not None:
             self._unreported[ref] = verdict
-            state.in_flight[ref] = shard  # until the owner has been told
-            if verdict.execution in FINAL and message is not None and ref not in state.final_states:
-                self._endings.finish(now, message, self._final_state(verdict))  # known here for good
+            state.in_flight[ref] = shard  # until the owner has confirmed it
+            if (
+                verdict.execution in FINAL_EXECUTIONS
+                and message is not None
+                and ref not in state.final_states
+            ):
+                self._endings.finish(now, message, self._final_state(verdict))  # recorded here too
             self.report(now)
         self._order.dispatch(now)
 
-    def _note_worker(self, now: float, worker: str, verdict: Verdict) -> None:
+    def _record_worker_outcome(self, now: float, worker: str, verdict: Verdict) -> None:
         known = self._choice.workers.get(worker)
         if known is None:
             return
@@ -60,14 +66,14 @@
         self._choice.finished(now, known, verdict.reached, unreachable, not_run)
 
     def _apply(self, now: float, message: Message, verdict: Verdict) -> None:
-        """What a verdict means for its message."""
-        if verdict.execution in FINAL:
+        """Ends the message or schedules its next attempt."""
+        if verdict.execution in FINAL_EXECUTIONS:
             self._endings.finish(now, message, self._final_state(verdict))
         elif verdict.execution is Execution.FAILED:
             self._apply_failure(now, message)
         else:
-            message.pauses += 1
-            backoff_ms = NOT_RUN_BACKOFF_MS * 2.0 ** (message.pauses - 1)
+            message.not_run_attempts += 1
+            backoff_ms = NOT_RUN_BACKOFF_MS * 2.0 ** (message.not_run_attempts - 1)
             self._order.requeue(now, message, min(MAX_NOT_RUN_BACKOFF_MS, backoff_ms))
 
     def _apply_failure(self, now: float, message: Message) -> None:
@@ -83,10 +89,10 @@
         phase = COMPLETE if verdict.execution is Execution.DONE else DEAD_LETTER
         return self._state.final_state(phase, verdict.why, verdict.seal)
 
-    # Deliveries of a store that owns the shard no more
+    # Deliveries sent by a previous owner
 
     def report(self, now: float) -> None:
-        """To the owners of the messages, as the view names them."""
+        """Reports all unconfirmed results to the owners that the view names."""
         state = self._state
         self._reported_at = now
         for ref, verdict in list(self._unreported.items()):
@@ -99,28 +105,28 @@
                 self.received(now, state.me, ref, shard, verdict)
 
     def report_again(self, now: float) -> None:
-        """What an owner has not confirmed in time."""
-        if self._unreported and now - self._reported_at > REPORT_AGAIN_MS:
+        """Reports results again that were not confirmed in time."""
+        if self._unreported and now - self._reported_at > REPORT_RETRY_MS:
             self.report(now)
 
     def reported(self, ref: str) -> None:
-        """The owner knows."""
+        """Handles the owner's confirmation."""
         if self._unreported.pop(ref, None) is not None:
             self._state.in_flight.pop(ref, None)
 
     def accepts(self, shard: int) -> bool:
-        """Whether it is for this store to hear how deliveries of the owner before have ended."""
+        """Whether results of the previous owner's deliveries in this shard are for this store."""
         return shard in self._state.owned or self._state.is_being_taken_over(shard)
 
     def received(self, now: float, sender: str, ref: str, shard: int, verdict: Verdict) -> None:
-        """How a delivery of the owner before has ended."""
+        """Handles the result of a delivery that the previous owner sent."""
         state = self._state
         message = state.messages.get(ref)
         if ref in state.final_states:
             self._endings.learned(now, ref, state.final_states[ref])
         elif (takeover := state.takeovers.get(shard)) is not None:
             takeover.finished_deliveries.add((sender, ref))
-            if verdict.execution in FINAL:
+            if verdict.execution in FINAL_EXECUTIONS:
                 self._final_states.learn(ref, self._final_state(verdict))
             elif message is not None:
                 message.sender = ""
@@ -130,5 +136,5 @@
             message.sender = ""
             self._apply(now, message, verdict)
             self._order.dispatch(now)
-        elif message.state is State.WAITING and verdict.execution in FINAL:
+        elif message.state is State.WAITING and verdict.execution in FINAL_EXECUTIONS:
             self._apply(now, message, verdict)
--- a/tests/pairs.py
+++ b/tests/pairs.py
@@ -1,7 +1,7 @@
-"""Two versions in one fleet: stores of the last version that landed beside stores of this one, in simulated
-time. The older one is read from the repository's history; where there is none there is nothing to play.
+"""Mixed versions: stores of the previous version and of this one in one simulated deployment.
 
-What passes between the two is put into the form of the wire and read from it, as between processes.
+That version is read from the repository's history; without that the test is not run. What the two exchange is
+encoded as on the wire and decoded from it, as between processes.
 """
 
 import importlib
@@ -34,7 +34,7 @@
 from sableford.store.queue import Queue
 from sableford.transport.verdict import Execution, Verdict
 
-LANDED = "863ec06101c9455979cb737f54ec6ce3914f12af"  # renewed with each landing
+PREVIOUS_COMMIT = "863ec06101c9455979cb737f54ec6ce3914f12af"  # updated with each merge to the main branch
 STATES = {
     "COPY": State.REPLICA,
     "TAKING": State.ACCEPTING,
@@ -45,8 +45,8 @@
 }
 
 
-class Landed(NamedTuple):
-    """The modules of the landed version that a queue is made of."""
+class PreviousModules(NamedTuple):
+    """The modules of the previous version that a queue consists of."""
 
     queue: ModuleType
     messages: ModuleType
@@ -54,10 +54,12 @@
     view: ModuleType
 
 
-def landed(folder: str) -> Landed | None:
-    """None without history."""
+def load_previous(folder: str) -> PreviousModules | None:
+    """Loads the previous version; None without history."""
     root = Path(__file__).parent.parent
-    got = subprocess.run(["git", "archive", LANDED, "sableford"], cwd=root, capture_output=True, check=False)
+    got = subprocess.run(
+        ["git", "archive", PREVIOUS_COMMIT, "sableford"], cwd=root, capture_output=True, check=False
+    )
     if got.returncode:
         return None
     with tarfile.open(fileobj=io.BytesIO(got.stdout)) as tar:
@@ -66,7 +68,7 @@
     sys.path.insert(0, folder)
     try:
         names = ("store.queue", "store.messages", "transport.verdict", "control.view")
-        return Landed(*(importlib.import_module(f"sableford.{name}") for name in names))
+        return PreviousModules(*(importlib.import_module(f"sableford.{name}") for name in names))
     finally:
         sys.path.remove(folder)
         for name in [name for name in sys.modules if name.split(".")[0] == "sableford"]:
@@ -75,12 +77,12 @@
 
 
 def wire(value: Any) -> Any:
-    """As it stands on the wire: maps and lists, under the wire's names."""
+    """Returns a value as on the wire: maps and lists, under the names on the wire."""
     return msgspec.to_builtins(value)
 
 
 class OlderMessage:
-    """A message of the older queue, as the simulation reads one of this version."""
+    """A message of the older queue, with the attributes of this version."""
 
     def __init__(self, older: Any) -> None:
         self.older = older
@@ -111,7 +113,7 @@
 
 
 class Converted(MutableMapping):
-    """A table of the older queue, whose values are read and written as those of this version."""
+    """A table of the older queue, with the values converted to and from those of this version."""
 
     def __init__(self, table: dict, newer: Any, older: Any) -> None:
         self._table, self._newer, self._older = table, newer, older
@@ -132,8 +134,8 @@
         return len(self._table)
 
 
-class Same:
-    """Attributes that have another name in the older queue."""
+class Renamed:
+    """An attribute that has another name in the older queue."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -145,34 +147,47 @@
         setattr(owner.older, self._name, value)
 
 
+class Alias:
+    """An older name of an attribute."""
+
+    def __init__(self, name: str) -> None:
+        self._name = name
+
+    def __get__(self, owner: Any, kind: type) -> Any:
+        return getattr(owner, self._name)
+
+    def __set__(self, owner: Any, value: Any) -> None:
+        setattr(owner, self._name, value)
+
+
 class OlderQueue:
-    """The landed queue under the names and types of this version."""
+    """The previous queue under the names and types of this version."""
 
-    landed: Landed
+    modules: PreviousModules
 
     def __init__(self, *given: Any) -> None:
-        self.older = self.landed.queue.Queue(*given)
+        self.older = self.modules.queue.Queue(*given)
         self._view = View()
         self.messages = Converted(self.older.held, OlderMessage, self._older_message)
-        self.final_states = Converted(self.older.ends, lambda end: FinalState(*end), self._older_end)
+        self.final_states = Converted(self.older.ends, lambda end: FinalState(*end), self._older_final_state)
 
     state = property(lambda self: self)
-    me, incarnation, complete = Same("me"), Same("birth"), Same("whole")
-    owned, unresponsive, lease = Same("owned"), Same("quiet"), Same("lease")
-    zone_of, full = Same("zone_of"), Same("full")
+    me, incarnation, complete = Renamed("me"), Renamed("birth"), Renamed("whole")
+    owned, unresponsive, lease = Renamed("owned"), Renamed("quiet"), Renamed("lease")
+    zone_of, full = Renamed("zone_of"), Renamed("full")
 
     def _older_message(self, message: Message) -> Any:
-        older = self.landed.messages.Message(
+        older = self.modules.messages.Message(
             wire(message.header), message.body, message.due_at, message.sent_at
         )
         older.synced = message.synced
         return older
 
-    def _older_end(self, final_state: FinalState) -> Any:
-        return self.landed.messages.End(*wire(final_state))
+    def _older_final_state(self, final_state: FinalState) -> Any:
+        return self.modules.messages.End(*wire(final_state))
 
     def _older_verdict(self, verdict: Verdict) -> Any:
-        module = self.landed.verdict
+        module = self.modules.verdict
         return module.Verdict(module.Ran(verdict.execution.value), *verdict[1:])
 
     def _effects(self, effects: list) -> list:
@@ -213,11 +228,11 @@
     @view.setter
     def view(self, view: View) -> None:
         self._view = view
-        self.older.view = msgspec.convert(wire(view), self.landed.view.View)
+        self.older.view = msgspec.convert(wire(view), self.modules.view.View)
 
     def apply_view(self, now: float, view: View) -> list:
         self._view = view
-        return self._effects(self.older.see(now, msgspec.convert(wire(view), self.landed.view.View)))
+        return self._effects(self.older.see(now, msgspec.convert(wire(view), self.modules.view.View)))
 
     # Events
 
@@ -240,7 +255,7 @@
         return self._effects(self.older.filled(now, store, refs, accepted))
 
     def final_state_learned(self, now, ref, final_state):
-        return self._effects(self.older.end_told(now, ref, self._older_end(final_state)))
+        return self._effects(self.older.end_told(now, ref, self._older_final_state(final_state)))
 
     def final_states_answered(self, now, store, number, known):
         return self._effects(self.older.settled(now, store, number, wire(known)))
@@ -269,14 +284,14 @@
     def repair(self, now):
         return self._effects(self.older.repair(now))
 
-    # Questions
+    # Queries
 
     def replica_offered(self, now, request, body):
         return self.older.copy(now, "", wire(request), body)
 
     def answer_pull(self, request):
-        word, found = self.older.pulled_by(0.0, request.shards, request.known, request.with_messages)
-        response = msgspec.convert(word | {"shards": request.shards}, PullResponse)
+        answer, found = self.older.pulled_by(0.0, request.shards, request.known, request.with_messages)
+        response = msgspec.convert(answer | {"shards": request.shards}, PullResponse)
         return response, [OlderMessage(one) for one in found]
 
     def final_states_of(self, refs):
@@ -302,22 +317,39 @@
     "is_safe": "safe",
 }
 
+# The older queue calls the worker selection of this version, whose attributes have other names.
+OLDER_WORKER_NAMES = {
+    "line": "entry",
+    "own": "own_in_flight",
+    "theirs": "others_in_flight",
+    "told": "reported_counts",
+    "heard_at": "reported_at",
+    "asked_at": "refresh_requested_at",
+    "doubt_until": "ejected_until",
+    "failures": "consecutive_failures",
+    "cold_until": "warming_up_until",
+    "cut_at": "window_reduced_at",
+    "full": "is_full",
+    "jobs": "in_flight",
+}
+
 
-def shows_stores_of_the_landed_version_beside_new_ones_break_no_rule() -> None:
+def shows_stores_of_the_previous_version_beside_new_ones_break_no_rule() -> None:
     with tempfile.TemporaryDirectory() as folder:
-        if (found := landed(folder)) is None:
-            print("no history: the landed version is not played")
+        if (found := load_previous(folder)) is None:
+            print("no history: the previous version is not run")
             return
-        before = type("Before", (OlderQueue,), {"landed": found})
-        store_choice.Worker.line = property(lambda worker: worker.entry)  # its name in that version
+        before = type("Before", (OlderQueue,), {"modules": found})
+        for older, newer in OLDER_WORKER_NAMES.items():
+            setattr(store_choice.Worker, older, Alias(newer))
         accepted = 0
         for seed in range(12):
-            # Each store starts as one of the two, and as the other after each restart in some walks.
-            lives: dict[str, int] = {}
+            # Each store starts as one of the two versions, and as the other after each restart.
+            starts: dict[str, int] = {}
 
-            def make(me, *given, lives=lives, seed=seed):
-                lives[me] = lives.get(me, seed) + 1
-                return (before if (lives[me] + int(me[1:])) % 2 else Queue)(me, *given)
+            def make(me, *given, starts=starts, seed=seed):
+                starts[me] = starts.get(me, seed) + 1
+                return (before if (starts[me] + int(me[1:])) % 2 else Queue)(me, *given)
 
             walk = Simulation(500 + seed, make=make).play()
             accepted += len(walk.accepted)
