--- a/tests/order.py
+++ b/tests/order.py
@@ -1,5 +1,5 @@
-"""One store's queue under orders drawn by hypothesis: puts with and without keys, disks that take their time,
-workers that succeed, fail, turn away or say nothing, and losses of power at any moment."""
+"""The queue of one store under random event sequences (hypothesis): puts with and without keys, delayed disk
+writes, deliveries with every outcome, and power loss at any moment."""
 
 from contextlib import redirect_stdout
 from io import StringIO
@@ -28,45 +28,45 @@
 from sableford.transport.verdict import Execution, Verdict
 
 KEYS = ["", "k1", "k2"]
-ENDINGS = [Execution.DONE, Execution.FAILED, Execution.IMPOSSIBLE, Execution.NOT_RUN, Execution.UNKNOWN]
+EXECUTIONS = [Execution.DONE, Execution.FAILED, Execution.IMPOSSIBLE, Execution.NOT_RUN, Execution.UNKNOWN]
 
 
 class OneStore(RuleBasedStateMachine):
-    """The oracle is what was promised: what it answered `kept`, and which of that has ended."""
+    """Checks the queue against what it acknowledged: accepted messages, and which of them have ended."""
 
-    make: type[Queue] = Queue
+    queue_type: type[Queue] = Queue
 
     def __init__(self) -> None:
         super().__init__()
-        self.now, self.lives, self.count = 0.0, 0, 0
+        self.now, self.starts, self.count = 0.0, 0, 0
         self.disk: dict[tuple[str, str], tuple] = {}
         self.writes: list[tuple[str, str]] = []
         self.accepted: list[str] = []
         self.keys: dict[str, str] = {}
         self.in_flight: dict[str, str] = {}
-        self.done: set[str] = set()  # succeeded, and the answer was read
+        self.done: set[str] = set()  # succeeded, and the response was read
         self.failed: dict[str, int] = {}
-        self.begin()
+        self.start()
 
-    def begin(self) -> None:
-        """A runtime: whole folder, alone in its roster, all shards its own."""
-        self.lives += 1
-        incarnation = f"b{self.lives}"
+    def start(self) -> None:
+        """Starts the store: its disk is complete, it is alone on the roster and owns all shards."""
+        self.starts += 1
+        incarnation = f"b{self.starts}"
         choice = Choice("z", incarnation)
-        self.queue = self.make("s", incarnation, 0, Table(1, DOC), choice, 600.0, True)
+        self.queue = self.queue_type("s", incarnation, 0, Table(1, DOC), choice, 600.0, True)
         for at in range(2):
             choice.put(self.now, WorkerEntry(f"w{at}", "a", "10.0.0.1", 80, "z", 2, True), 0.0)
-        for (what, ref), value in self.disk.items():
-            if what == "e":
+        for (kind, ref), value in self.disk.items():
+            if kind == "e":
                 self.queue.state.final_states[ref] = value
         for ref, (header, due_at, sent_at) in [
-            (ref, one) for (what, ref), one in self.disk.items() if what == "m"
+            (ref, one) for (kind, ref), one in self.disk.items() if kind == "m"
         ]:
             if ref not in self.queue.state.final_states:
                 message = self.queue.state.messages[ref] = Message(header, b"x", due_at, sent_at)
                 message.synced = True
         self.queue.state.lease = 1e12
-        number = (self.lives, 1)
+        number = (self.starts, 1)
         view = View(
             number,
             ["s"] * SHARDS,
@@ -75,9 +75,9 @@
             {"s": StoreInfo(incarnation, "z")},
             ["s"],
         )
-        self.do(self.queue.apply_view(self.now, view))
+        self.carry_out(self.queue.apply_view(self.now, view))
 
-    def do(self, effects: list) -> None:
+    def carry_out(self, effects: list) -> None:
         for effect in effects:
             match effect:
                 case WriteMessage(ref):
@@ -91,12 +91,12 @@
                     assert ref not in self.done, f"{ref} runs again after its success was read"
                     if key := self.keys[ref]:
                         before = self.accepted[: self.accepted.index(ref)]
-                        open_ = [
+                        unfinished = [
                             one
                             for one in before
                             if self.keys[one] == key and one not in self.queue.state.final_states
                         ]
-                        assert not open_, f"{ref} starts before {open_}"
+                        assert not unfinished, f"{ref} starts before {unfinished}"
                     self.in_flight[ref] = worker
 
     @rule(key=st.sampled_from(KEYS), again=st.booleans())
@@ -119,92 +119,96 @@
             revision=1,
             is_retry=again,
         )
-        self.do(self.queue.put(self.now, request, b"x", ref))
+        self.carry_out(self.queue.put(self.now, request, b"x", ref))
 
     @precondition(lambda self: self.writes)
-    @rule(most=st.integers(1, 4))
-    def sync(self, most: int) -> None:
-        written, self.writes = self.writes[:most], self.writes[most:]
-        for what, ref in written:
+    @rule(limit=st.integers(1, 4))
+    def sync(self, limit: int) -> None:
+        written, self.writes = self.writes[:limit], self.writes[limit:]
+        for kind, ref in written:
             message = self.queue.state.messages.get(ref)
             if message is None:
                 continue
-            if what == "m":
+            if kind == "m":
                 header = replace(message.header, attempts=message.attempts)
                 self.disk["m", ref] = (header, message.due_at, message.sent_at)
-                self.do(self.queue.message_written(self.now, ref))
+                self.carry_out(self.queue.message_written(self.now, ref))
             else:
                 self.disk.pop(("m", ref), None)
                 self.disk["e", ref] = message.final_state
-                self.do(self.queue.final_state_written(self.now, ref))
+                self.carry_out(self.queue.final_state_written(self.now, ref))
 
     @precondition(lambda self: self.in_flight)
-    @rule(data=st.data(), ran=st.sampled_from(ENDINGS))
-    def over(self, data, ran: Execution) -> None:
+    @rule(data=st.data(), execution=st.sampled_from(EXECUTIONS))
+    def outcome_arrives(self, data, execution: Execution) -> None:
         ref = data.draw(st.sampled_from(sorted(self.in_flight)))
         worker = self.in_flight.pop(ref)
-        if ran is Execution.DONE:
+        if execution is Execution.DONE:
             self.done.add(ref)
-        if ran is Execution.FAILED:
+        if execution is Execution.FAILED:
             self.failed[ref] = self.failed.get(ref, 0) + 1
-        self.do(
+        self.carry_out(
             self.queue.delivered(
-                self.now, ref, worker, Verdict(ran, "", "seal" if ran is Execution.DONE else "")
+                self.now, ref, worker, Verdict(execution, "", "seal" if execution is Execution.DONE else "")
             )
         )
 
     @rule(ms=st.sampled_from([1.0, 20.0, 500.0]))
     def wait(self, ms: float) -> None:
         self.now += ms
-        self.do(self.queue.tick(self.now, self.now))
+        self.carry_out(self.queue.tick(self.now, self.now))
 
     @rule()
-    def power(self) -> None:
-        """What was not synced is gone, and so is what was known of deliveries: a success may run again."""
+    def power_loss(self) -> None:
+        """Loses unsynced writes and the results of deliveries, so a message that succeeded may run again."""
         self.writes, self.in_flight = [], {}
-        kept = {ref for what, ref in self.disk if what == "e"}
-        self.done &= kept
-        self.failed = {ref: count for ref, count in self.failed.items() if ref in kept}
-        self.begin()
+        on_disk = {ref for kind, ref in self.disk if kind == "e"}
+        self.done &= on_disk
+        self.failed = {ref: count for ref, count in self.failed.items() if ref in on_disk}
+        self.start()
 
     @invariant()
     def nothing_accepted_is_lost(self) -> None:
         for ref in self.accepted:
             assert ref in self.queue.state.messages or ref in self.queue.state.final_states, ref
-            end = self.queue.state.final_states.get(ref)
-            if end is not None and end.phase == "dead_letter" and end.why.startswith("failed"):
+            final_state = self.queue.state.final_states.get(ref)
+            if (
+                final_state is not None
+                and final_state.phase == "dead_letter"
+                and final_state.why.startswith("failed")
+            ):
                 assert self.failed.get(ref, 0) >= 3 or ("e", ref) in self.disk, ref
 
 
 class SendsOutOfTurn(DeliveryOrder):
-    """Sends whatever is due, whose turn it is or not."""
+    """Delivers any due message, without regard to the order of its key."""
 
     def is_first_of_key(self, message):
         return True
 
 
 class NeedsNoDisk(ReplicaPlacement):
-    """Says kept before any disk has it."""
+    """Acknowledges a message before any disk has it."""
 
     def is_safe(self, message):
         return True
 
 
 class NeverEnds(Endings):
-    """Takes no end for one."""
+    """Delivers a message again instead of ending it."""
 
     def finish(self, now, message, final_state):
         self._order.requeue(now, message, 0.0)
 
 
 def with_parts(**parts: type) -> type[Queue]:
-    """A queue with mistaken parts."""
-    return type("Mistaken", (Queue,), {"parts": QueueParts(**parts)})
+    """Returns a queue class with some parts replaced, to inject faults."""
+    return type("FaultyQueue", (Queue,), {"parts": QueueParts(**parts)})
 
 
-def played(queue: type[Queue]) -> None:
-    machine = type("OneStore", (OneStore,), {"make": queue})
-    steps = settings(
+def run_machine(queue: type[Queue]) -> None:
+    machine = type("OneStore", (OneStore,), {"queue_type": queue})
+    config = settings(
         max_examples=60,
         stateful_step_count=60,
         deadline=None,
@@ -213,22 +217,22 @@
         phases=[Phase.generate],
         suppress_health_check=list(HealthCheck),
     )
-    run_state_machine_as_test(machine, settings=steps)
+    run_state_machine_as_test(machine, settings=config)
 
 
-def shows_a_store_keeps_its_word_whatever_comes_when() -> None:
-    played(Queue)
+def shows_a_store_keeps_its_guarantees_under_any_sequence_of_events() -> None:
+    run_machine(Queue)
 
 
-def shows_a_store_that_does_not_keep_its_word_is_found_out() -> None:
-    for part, mistaken in (
+def shows_a_store_that_breaks_a_guarantee_is_detected() -> None:
+    for part, faulty in (
         ("order", SendsOutOfTurn),
         ("placement", NeedsNoDisk),
         ("endings", NeverEnds),
     ):
         try:
             with redirect_stdout(StringIO()):
-                played(with_parts(**{part: mistaken}))
+                run_machine(with_parts(**{part: faulty}))
         except AssertionError:
             continue
-        raise AssertionError(f"not found: {mistaken.__doc__}")
+        raise AssertionError(f"not detected: {faulty.__doc__}")
--- a/tests/store_fences.py
+++ b/tests/store_fences.py
@@ -1,4 +1,4 @@
-"""What a store may still do and believe once its shard, its lease or another store's life has changed."""
+"""What a store may still do after it lost a shard or its lease, or after another store restarted."""
 
 from contextlib import suppress
 
@@ -27,24 +27,24 @@
 
 
 def view(count: int, owner: str, incarnation: str = "b1") -> View:
-    """All shards are one store's, since this view."""
+    """Returns a view in which one store owns all shards, since this view."""
     incarnations = {"s0": "b0", "s1": incarnation}
-    stores = {name: StoreInfo(life, f"z{name}") for name, life in incarnations.items()}
+    stores = {name: StoreInfo(incarnation, f"z{name}") for name, incarnation in incarnations.items()}
     return View((1, count), [owner] * SHARDS, [incarnations[owner]] * SHARDS, [(1, count)] * SHARDS, stores)
 
 
 def takes_over(queue: Queue, now: float, count: int) -> list[Effect]:
-    """s0 becomes the owner, and s1 tells what it holds."""
+    """Makes s0 the owner, to which s1 answers what it holds."""
     asked = [effect for effect in queue.apply_view(now, view(count, "s0")) if isinstance(effect, Pull)]
-    told = [effect for pull in asked for effect in queue.pull_answered(now, "s1", pull.round, KNOWS)]
-    settles = [effect for effect in told if type(effect).__name__ == "AskFinalStates"]
-    return told + [
-        effect for one in settles for effect in queue.final_states_answered(now, "s1", one.round, {})
+    effects = [effect for pull in asked for effect in queue.pull_answered(now, "s1", pull.round, KNOWS)]
+    queries = [effect for effect in effects if type(effect).__name__ == "AskFinalStates"]
+    return effects + [
+        effect for one in queries for effect in queue.final_states_answered(now, "s1", one.round, {})
     ]
 
 
 def with_a_message_out() -> Queue:
-    """s0 owns all, and has sent one message to a worker."""
+    """Returns the queue of s0, which owns all shards and has one delivery in flight."""
     queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
     queue.choice.put(0.0, WorkerEntry("w", "a", "10.0.0.9", 80, "z0", 2, True), 0.0)
     queue.state.lease = 1e9
@@ -56,30 +56,30 @@
     return queue
 
 
-def shows_a_message_still_at_a_worker_is_not_sent_again_when_its_shard_comes_back() -> None:
+def shows_a_message_in_flight_is_not_sent_again_when_its_shard_returns_to_the_sender() -> None:
     queue = with_a_message_out()
     queue.apply_view(10.0, view(2, "s1"))
-    told = takes_over(queue, 20.0, 3)
+    effects = takes_over(queue, 20.0, 3)
     for now in range(30, 900, 15):
-        told += queue.tick(float(now), 0.0)
-    assert not [effect for effect in told if isinstance(effect, Deliver)]
+        effects += queue.tick(float(now), 0.0)
+    assert not [effect for effect in effects if isinstance(effect, Deliver)]
     assert queue.state.messages["00-a"].state is State.IN_FLIGHT_ELSEWHERE
     queue.delivered(900.0, "00-a", "w", Verdict(Execution.DONE, "", "seal"))
     assert queue.status("00-a") == MessageState("complete", "seal")
 
 
-def shows_a_store_that_does_not_own_a_shard_yet_is_told_again_how_a_delivery_ended() -> None:
+def shows_a_store_confirms_results_only_for_shards_that_it_owns() -> None:
     queue = with_a_message_out()
     assert queue.accepts_results(0)
     queue.apply_view(10.0, view(2, "s1"))
     assert not queue.accepts_results(0)
 
 
-def shows_a_store_whose_lease_is_over_lets_nobody_drop_a_copy() -> None:
+def shows_a_store_without_a_lease_lets_no_store_drop_a_replica() -> None:
     queue = with_a_message_out()
     compared = PullResponse(True, ["00-unknown"], [], {})
     back = view(1, "s0", "b2")
-    back.number = (1, 2)  # s0 owns all as before; s1 is back and is compared
+    back.number = (1, 2)  # s0 owns all as before; s1 has returned and is compared
     pulls = [one for one in queue.apply_view(10.0, back) if isinstance(one, Pull)]
     again = queue.pull_answered(20.0, "s1", pulls[0].round, compared)
     assert [effect.ref for effect in again if isinstance(effect, DropReplica)] == ["00-unknown"]
@@ -89,36 +89,36 @@
     assert not [effect for effect in late if isinstance(effect, DropReplica)]
 
 
-def shows_what_an_earlier_life_of_a_store_answered_counts_for_nothing() -> None:
-    """A frozen owner reads the answer of a store that lost its disk and came back meanwhile."""
+def shows_an_answer_of_a_previous_incarnation_is_ignored() -> None:
+    """An owner that was paused reads the answer of a store that lost its disk and restarted meanwhile."""
     walk = Simulation(1, 0, stores=4)
     owner, got = walk.stores["s0"], []
 
     def ask() -> None:
         walk._ask("s0", "s1", lambda other, reply: reply(True), got.append)
-        other_life = {name: StoreInfo("later", "z") for name in walk.stores}
-        owner.queue.state.view = View(owner.queue.state.view.number, live_stores=other_life)
+        restarted = {name: StoreInfo("later", "z") for name in walk.stores}
+        owner.queue.state.view = View(owner.queue.state.view.number, live_stores=restarted)
 
     walk.later(3000.0, ask)
     walk.later(3010.0, setattr, walk, "_events", [])
-    with suppress(Wrong):  # it is cut short
+    with suppress(Wrong):  # the run is cut short
         walk.play()
     assert got == [None]
 
 
 LONGER = {"routes": [route | {"deadlineMs": 4000} for route in DOC["routes"]], "backends": DOC["backends"]}
 HANGS = {"faults": 12, "kinds": ("hang",), "stores": 4, "seconds": 14.0, "delay_ms": 6000.0}
-HANGS |= {"doc": LONGER, "per_s": 60.0}  # runs that may last longer than a lease
+HANGS |= {"doc": LONGER, "per_s": 60.0}  # deliveries that may last longer than a lease
 
 
 class SendsAfterLoading(Queue):
-    """Does not look at its lease again once a message's bytes are read."""
+    """Does not check its lease again after a message's body was read."""
 
     def may_send(self, now, ref, worker):
         return True
 
 
-def shows_a_lease_that_ran_out_while_bytes_were_read_is_looked_at_again() -> None:
+def shows_the_lease_is_checked_again_after_a_body_was_read() -> None:
     for seed in range(3):
         Simulation(seed, **HANGS).play()
     rules = set()
--- a/tests/store_full_disk.py
+++ b/tests/store_full_disk.py
@@ -1,4 +1,4 @@
-"""A store whose disk takes nothing more."""
+"""A store whose disk is full."""
 
 import asyncio
 import tempfile
@@ -17,7 +17,7 @@
 
 
 def shards_of_a_full_store(ignored: bool = False) -> list[int]:
-    """How many shards a store owns before its disk is full, while it is, and a second after there is room."""
+    """Returns how many shards a store owns before its disk is full, while it is, and one second after."""
     walk = Simulation(5, 0, stores=4)
     if ignored:
         renewed = walk.coordinator.renewed
@@ -34,13 +34,13 @@
     return owned
 
 
-def shows_a_store_whose_disk_is_full_hands_its_shards_on_until_there_is_room() -> None:
+def shows_a_store_whose_disk_is_full_hands_its_shards_over_until_there_is_room() -> None:
     assert shards_of_a_full_store() == [SHARDS // 4, 0, SHARDS // 4]
     assert shards_of_a_full_store(ignored=True)[1] == SHARDS // 4
 
 
-def shows_a_disk_that_was_full_takes_more_once_what_it_kept_has_ended() -> None:
-    """The file never shrinks; what counts is what it holds."""
+def shows_a_disk_that_was_full_takes_more_once_its_messages_have_ended() -> None:
+    """The file never shrinks, so the limit applies to the data in it."""
 
     async def fill(place: str) -> list[bool]:
         disk = Disk(Path(place), 16)
@@ -52,7 +52,7 @@
 
         refused = [problem for problem in await add(range(6000)) if problem is not None]
         assert refused and all(isinstance(problem, DiskFullError) for problem in refused) and disk.full
-        await disk.write([(b"e1", b"end")])  # what ends still has room
+        await disk.write([(b"e1", b"end")])  # final states are still accepted
         await disk.write([(b"m%06d" % at, None) for at in range(2000)])
         after = await add(range(6000, 6100))
         disk.close()
@@ -65,21 +65,21 @@
         assert all(asyncio.run(fill(place)))
 
 
-def shows_ends_that_a_full_store_refused_are_offered_again_a_second_later() -> None:
+def shows_final_states_that_a_full_store_refused_are_offered_again_a_second_later() -> None:
     queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
     queue.state.lease = 1e9
     live_stores = {"s0": StoreInfo("b0", "z0"), "s1": StoreInfo("b1", "z1")}
     owners, incarnations, epochs = ["s0"] * SHARDS, ["b0"] * SHARDS, [(1, 1)] * SHARDS
     queue.state.final_states["00-a"] = FinalState("complete", "seal", "", 0.0)
     pulls = queue.apply_view(0.0, View((1, 1), owners, incarnations, epochs, live_stores))
-    told = queue.pull_answered(0.0, "s1", pulls[0].round, PullResponse(True, [], [], {}))
-    listings = [one for one in told + queue.tick(50.0, 0.0) if isinstance(one, ListFinalStates)]
+    effects = queue.pull_answered(0.0, "s1", pulls[0].round, PullResponse(True, [], [], {}))
+    listings = [one for one in effects + queue.tick(50.0, 0.0) if isinstance(one, ListFinalStates)]
     assert not queue.is_safe()
     queue.final_states_listed(60.0, "s1", listings[0].round, [], True)
     offered = []
     for now in range(100, 1600, 15):
-        told = queue.tick(float(now), 0.0) + queue.repair(float(now))
-        for one in told:
+        effects = queue.tick(float(now), 0.0) + queue.repair(float(now))
+        for one in effects:
             if isinstance(one, CopyFinalStates):
                 offered.append(now)
                 queue.final_states_copied(float(now), "s1", one.refs, len(offered) > 1)
