--- a/tests/order.py
+++ b/tests/order.py
@@ -209,7 +209,7 @@
 def run_machine(queue: type[Queue]) -> None:
     machine = type("OneStore", (OneStore,), {"queue_type": queue})
     config = settings(
-        max_examples=60,
+        max_examples=200,
         stateful_step_count=60,
         deadline=None,
         derandomize=True,
