--- a/sableford/consensus/__init__.py
+++ b/sableford/consensus/__init__.py
@@ -1,2 +1,1 @@
-"""One order of entries that the voters agree on and all others learn. Raft as published, and a wary disk
-under it."""
+"""Replicated log: Raft with pre-vote, membership changes and snapshots, and log files that detect damage."""
--- a/sableford/consensus/effects.py
+++ b/sableford/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a folder held, what the record asks of its host, and whether it may vote."""
+"""Effects that the Raft state machine asks its host to carry out, state read from disk, and voting status."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Standing(Enum):
-    """Whether this process may vote, and if not, why. What it says to others is true in each of them."""
+    """Whether this process may vote, and if not, why. Its startup answers hold in every state."""
 
     LEARNER = "not a voter"
     NEW = "waits for all voters to be new too"
@@ -19,15 +19,20 @@
     NO_DISK = "its disk does not take what it must keep"
 
 
-VOTES = {Standing.VOTING}
+VOTING_STANDINGS = {Standing.VOTING}
 
 
-ACKS = {Standing.VOTING, Standing.INCOMPLETE, Standing.NEW, Standing.ASKING}  # what it holds it does hold
+ACKNOWLEDGING_STANDINGS = {
+    Standing.VOTING,
+    Standing.INCOMPLETE,
+    Standing.NEW,
+    Standing.ASKING,
+}  # entries on its disk count towards a majority
 
 
 class StoredState(NamedTuple):
-    """What a folder held at the start. `lost` is what it must once have held beyond that: a term and an
-    entry."""
+    """State read from a data folder at startup. `lost`: the term and index up to which the folder must once
+    have held entries that it no longer has."""
 
     id: str
     term: int = 0
@@ -40,12 +45,14 @@
 
 
 class Send(NamedTuple):
+    """Sends `message` to the process `to`."""
+
     to: str
     message: RaftMessage
 
 
 class Persist(NamedTuple):
-    """To be on disk, in this order, before `stored(number)` is called."""
+    """Writes to make durable, in this order, before `stored(number)` is called."""
 
     number: int
     writes: tuple
@@ -62,13 +69,13 @@
 
 
 class TruncateLog(NamedTuple):
-    """Entries after `index` go."""
+    """Removes the entries after `index`."""
 
     index: int
 
 
 class ReplaceLog(NamedTuple):
-    """Everything anew: another id, or a snapshot in place of what was there."""
+    """Replaces the whole log: after a change of id, a snapshot, or a disk failure."""
 
     id: str
     meta: HardState
@@ -76,11 +83,11 @@
     first: int
     before: int
     entries: tuple[Entry, ...]
-    lost: tuple[int, int] | None = None  # still, of an earlier start
+    lost: tuple[int, int] | None = None  # carried over from an earlier start until the entries are recovered
 
 
 class ProposalResult(NamedTuple):
-    """A proposal made here has its end: where it stands, or why not."""
+    """The outcome of a proposal or read of this process: its index, or why it was rejected."""
 
     number: int
     yes: bool
@@ -89,7 +96,7 @@
 
 
 class Committed(NamedTuple):
-    """One more entry is in force here."""
+    """An entry was committed and applied here. `held`: whether it had an effect."""
 
     index: int
     entry: Entry
@@ -97,13 +104,13 @@
 
 
 class SnapshotInstalled(NamedTuple):
-    """A snapshot was fetched: all that entries up to `index` add up to is in force here."""
+    """A fetched snapshot replaced the state: it includes all entries up to `index`."""
 
     index: int
 
 
 class LogEvent(NamedTuple):
-    """For people."""
+    """An event for the operator's log."""
 
     event: str
     facts: dict
@@ -112,12 +119,14 @@
 Effect = Send | Persist | ProposalResult | Committed | SnapshotInstalled | LogEvent
 
 
-class Persisted(NamedTuple):
+class LogDurable(NamedTuple):
+    """The log is durable up to entry `last`, which is of `term`."""
+
     last: int
     term: int
 
 
 class OwnVoteCounts(NamedTuple):
-    """The own vote counts from here on."""
+    """This process's own vote is durable and may be counted in the election of `term`."""
 
     term: int
--- a/sableford/consensus/elections.py
+++ b/sableford/consensus/elections.py
@@ -1,33 +1,33 @@
-"""Elections: pre-vote, votes, terms, and how a leader begins and ends (Ongaro, Ousterhout 2014, section 5.2;
-Ongaro's dissertation, section 9.6).
+"""Leader election: pre-vote, votes, terms, becoming leader and stepping down (Ongaro, Ousterhout 2014,
+section 5.2; Ongaro's dissertation, section 9.6).
 """
 
-from sableford.consensus.constants import ELECTION_TIMEOUT, HEARTBEAT, LEADERLESS
-from sableford.consensus.effects import VOTES, Effect, HardState, LogEvent, OwnVoteCounts, Send
+from sableford.consensus.constants import ELECTION_TIMEOUT, HEARTBEAT, LEADERLESS_FETCH_DELAY
+from sableford.consensus.effects import VOTING_STANDINGS, Effect, HardState, LogEvent, OwnVoteCounts, Send
 from sableford.consensus.messages import Entry, Kind, VoteRequest, VoteResponse
 from sableford.consensus.raft_state import Follower, RaftState
 
 
 class Elections(RaftState):
-    """Who leads."""
+    """Starts elections, answers vote requests and changes between leader and follower."""
 
     def over(self, now: float, name: str) -> None:
-        """Proof that the process of that name has ended: nothing is gained by waiting for it as a leader."""
+        """The process of that name is known to have ended: if it led, an election starts soon."""
         if name == self.leader and not self.leads:
-            self.leader, self._led_at = "", -1e12
-            self._due_at = min(self._due_at, now + HEARTBEAT * self._random.random())
-            self.due = min(self.due, self._due_at)
+            self.leader, self._leader_heard_at = "", -1e12
+            self._election_due_at = min(self._election_due_at, now + HEARTBEAT * self._random.random())
+            self.due = min(self.due, self._election_due_at)
 
     def _leaderless(self, now: float) -> bool:
-        """Whether it may have been left behind: the others may agree on things without it."""
-        return not self.leader and now - self._led_at >= LEADERLESS
+        """Whether there has been no leader for so long that others may have committed entries without it."""
+        return not self.leader and now - self._leader_heard_at >= LEADERLESS_FETCH_DELAY
 
     def _start_election(self, now: float) -> list[Effect]:
-        """Asked first, so that nobody's term grows by one that could not win."""
-        self._due_at = self._election_deadline(now)
-        if not self.knows_voter_ids() and len(self._startup_answers) + 1 < len(self._names):
-            return []  # who leads first names all voters' folders
-        self._pre, self._votes, self.leader = True, {self.name: True}, ""
+        """Starts with a pre-vote, so that a candidate that cannot win does not raise anybody's term."""
+        self._election_due_at = self._election_deadline(now)
+        if not self.knows_voter_ids() and len(self._startup_answers) + 1 < len(self._configured_voters):
+            return []  # the first leader has to record all voters' ids
+        self._in_pre_vote, self._votes, self.leader = True, {self.name: True}, ""
         message = VoteRequest(self.id, self.term + 1, self.last, self.term_at(self.last), True)
         return self._request_votes(message) or self._count_votes(now)
 
@@ -35,12 +35,13 @@
         return [Send(name, message) for name in self._voters if name != self.name]
 
     def _handle_vote_request(self, now: float, sender: str, message: VoteRequest) -> list[Effect]:
-        if self.standing not in VOTES or not self._is_voter(sender, message.id):
+        if self.standing not in VOTING_STANDINGS or not self._is_voter(sender, message.id):
             return []
         if not self._is_voter(self.name, self.id):
             return []
-        # Who hears a leader leaves it one: a candidate behind a one-way cut would unseat it for ever.
-        led = self.leads or (self.leader and now - self._led_at < ELECTION_TIMEOUT - HEARTBEAT)
+        # While a leader is heard, votes are refused: otherwise a candidate that can send but not receive
+        # would depose it again and again.
+        led = self.leads or (self.leader and now - self._leader_heard_at < ELECTION_TIMEOUT - HEARTBEAT)
         new = (message.last_term, message.last) >= (self.term_at(self.last), self.last)
         if message.pre:
             yes = message.term > self.term and new and not led
@@ -50,12 +51,12 @@
             return [Send(sender, VoteResponse(self.id, self.term, False, False))]
         if message.term > self.term:
             out += self._become_follower(now, message.term, "")
-        # It keeps a term before it asks for votes in it.
+        # A candidate persists a term before it requests votes in it, so its folder holds at least that.
         self._note_progress(sender, message.id, message.term, 0)
         yes = message.term == self.term and new and self.vote in ("", sender)
         if yes:
             self.vote = sender
-            self._due_at = self._election_deadline(now)
+            self._election_due_at = self._election_deadline(now)
         answer = Send(sender, VoteResponse(self.id, self.term, yes, False, self._unsupported_ms(now)))
         return out + self._persist(HardState(self.term, self.vote), then=[answer]) if yes else [*out, answer]
 
@@ -64,10 +65,10 @@
             return []
         if message.yes and not message.pre:
             self._note_progress(sender, message.id, message.term, 0)
-            self._support[sender] = now - message.quiet_ms
+            self._support_ended_at[sender] = now - message.quiet_ms
         if message.term > self.term + (message.pre and message.yes):
             return self._become_follower(now, message.term, "")
-        if self.leads or not self._votes or message.pre != self._pre:
+        if self.leads or not self._votes or message.pre != self._in_pre_vote:
             return []
         if message.term != self.term + message.pre and message.yes:
             return []
@@ -75,19 +76,19 @@
         return self._count_votes(now)
 
     def _unsupported_ms(self, now: float) -> float:
-        """For how long no leader can have counted on an answer of this process."""
-        return 0.0 if self.leads else max(0.0, now - self._supported_at)
+        """Milliseconds for which no leader can have counted on a response of this process."""
+        return 0.0 if self.leads else max(0.0, now - self._last_support_at)
 
     def _count_votes(self, now: float) -> list[Effect]:
         if not self._majority(name for name, yes in self._votes.items() if yes):
             return []
-        if self._pre:
-            self._pre = False
+        if self._in_pre_vote:
+            self._in_pre_vote = False
             self.term, self.vote = self.term + 1, self.name
-            self._votes, self._support = {}, {}
-            self._due_at = self._election_deadline(now)
+            self._votes, self._support_ended_at = {}, {}
+            self._election_due_at = self._election_deadline(now)
             message = VoteRequest(self.id, self.term, self.last, self.term_at(self.last), False)
-            # Its own vote counts once it is kept, and is asked for others' no sooner.
+            # The own vote must be durable before it counts and before votes are requested.
             return self._persist(
                 HardState(self.term, self.name),
                 then=[*self._request_votes(message), OwnVoteCounts(self.term)],
@@ -95,52 +96,55 @@
         return self._become_leader(now)
 
     def _become_leader(self, now: float) -> list[Effect]:
-        # Of each majority that an earlier leader counted on, one at least has elected this one.
+        # Each majority that an earlier leader counted on shares a member with the one that elected this
+        # leader, so the voters' reports bound the time at which that can have been.
         voted = [
-            self._support.get(name, now) for name, yes in self._votes.items() if yes and name != self.name
+            self._support_ended_at.get(name, now)
+            for name, yes in self._votes.items()
+            if yes and name != self.name
         ]
-        self.earlier_leader_until = max([self._supported_at, *voted])
+        self.earlier_leader_until = max([self._last_support_at, *voted])
         self.leads, self.leader, self._votes = True, self.name, {}
         self._followers = {name: Follower(self.last, now) for name in self._voters if name != self.name}
         self._outgoing.clear()
-        self._taken.clear()
-        self._reads.clear()
+        self._uncommitted_proposals.clear()
+        self._pending_reads.clear()
         out: list[Effect] = [LogEvent("record_leader", {"leader": self.name, "term": self.term})]
         out += self._append_own(Entry(self.term, Kind.NOTHING))
         if not self.knows_voter_ids():
             ids = {name: answer.id for name, answer in self._startup_answers.items()} | {self.name: self.id}
             out += self._append_own(self._voters_entry({name: ids[name] for name in self._voters}))
-        self._beat_at = now
+        self._next_heartbeat_at = now
         return out + self._send_heartbeats(now)
 
     def _become_follower(self, now: float, term: int, leader: str) -> list[Effect]:
-        """Another term, or a leader of this one."""
+        """Adopts a later term, or the leader of this one, and steps down if it was the leader."""
         out: list[Effect] = []
         if self.leads:
-            self._supported_at = now
+            self._last_support_at = now
             out.append(LogEvent("record_leads_no_more", {"term": self.term, "newer": term}))
-            out += self._refuse_all("another leads")
+            out += self._drop_pending_requests("another leads")
         if leader and leader != self.leader:
             out.append(LogEvent("record_leader", {"leader": leader, "term": term}))
         self.leads, self.leader, self._votes = False, leader, {}
         if term > self.term:
             self.term, self.vote = term, ""
             out += self._persist(HardState(term, ""))
-        self._due_at = self._election_deadline(now)
+        self._election_due_at = self._election_deadline(now)
         return out
 
     def resign(self, now: float) -> list[Effect]:
-        """Leads no more, and leaves it to others to stand first."""
+        """Steps down and waits longer than usual before its own next election, so that another may win."""
         if not self.leads:
             return []
-        self._supported_at = now
+        self._last_support_at = now
         self.leads, self.leader = False, ""
-        self._due_at = now + ELECTION_TIMEOUT * 4.0
+        self._election_due_at = now + ELECTION_TIMEOUT * 4.0
         said = LogEvent("record_leads_no_more", {"term": self.term, "why": "it resigns"})
-        return [said, *self._refuse_all("the leader resigned")]
+        return [said, *self._drop_pending_requests("the leader resigned")]
 
-    def _refuse_all(self, why: str) -> list[Effect]:
-        """Led no more: askers say it again elsewhere."""
-        self._reads.clear()
-        self._taken.clear()
+    def _drop_pending_requests(self, why: str) -> list[Effect]:
+        """Forgets pending requests of a former leader: their senders retry with the next one."""
+        self._pending_reads.clear()
+        self._uncommitted_proposals.clear()
         return []
--- a/sableford/consensus/file_disk.py
+++ b/sableford/consensus/file_disk.py
@@ -1,7 +1,7 @@
-"""The one interface through which the record touches a disk, and the real one.
+"""File access for the replicated log: the `Disk` interface, and its implementation on a real folder.
 
-It owns the order of writing, flushing and renaming. Calls may take as long as the disk likes and raise
-OSError; they are made by a hand, never on the loop.
+The order of writes, flushes and renames is decided here. Calls may block for as long as the disk takes and
+may raise OSError, so they run on a worker thread and never on the event loop.
 """
 
 import fcntl
@@ -13,23 +13,24 @@
 
 
 class Disk(Protocol):
-    """One folder of files."""
+    """A folder of files."""
 
     def names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str, data: bytes) -> None:
-        """At the end of a file, made where there is none; kept for sure only by `sync`."""
+        """Appends to a file, creating it if missing; durable only after `sync`."""
 
     def sync(self, name: str) -> None: ...
 
     def write(self, name: str, data: bytes) -> None:
-        """A whole file, kept for sure once this returns: all of it under the name, or what was there
-        before."""
+        """Replaces a whole file atomically; durable once this returns. After a failure the name holds
+        either the new or the previous content."""
 
     def note(self, name: str, data: bytes) -> None:
-        """A small file, whole or not at all where only the process dies; nothing is flushed."""
+        """Replaces a small file atomically with regard to a crash of the process; it is not flushed, so a
+        crash of the machine may lose it."""
 
     def remove(self, name: str) -> None: ...
 
@@ -39,7 +40,7 @@
         self._folder = folder
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._open: dict[str, int] = {}
-        # Two processes of one scheduler may live at once; the kernel lets go of it at any death.
+        # Two processes of one scheduler may run at once; the kernel releases the lock however a process ends.
         self._lock = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -96,7 +97,7 @@
             (self._folder / name).unlink()
 
     def release(self) -> None:
-        """Another process may have the folder."""
+        """Releases the lock, so that another process may open the folder."""
         os.close(self._lock)
 
     def close(self, name: str) -> None:
@@ -105,5 +106,5 @@
 
 
 opened: Callable[[Path], Disk] = (
-    RealDisk  # what a start uses; the rig's launcher alone lays another one under
+    RealDisk  # opens the disk at startup; only the test rig's launcher replaces it
 )
--- a/sableford/consensus/log_files.py
+++ b/sableford/consensus/log_files.py
@@ -1,12 +1,11 @@
-"""The record's folder: how entries, terms and votes stand in files, and what a damaged folder still says.
+"""File format of the replicated log: entries, terms and votes in files, and recovery of damaged folders.
 
-It owns the form of the files. Reading is a table from what is found to what is believed (`recover`),
-without I/O: a last record that is not whole was never acknowledged, unless the mark beside the log says
-that it was; one that is bad in the middle is damage, and what stood from there on counts as lost and not as
-never written.
+Recovery (`recover`) is a function of the files' contents, without I/O. An incomplete last record was never
+acknowledged, unless the mark file says that it had been flushed. A bad record before that is damage: what
+followed it counts as lost, not as never written.
 
-A folder holds `log-N` (a head, then a record for each term and vote, entry and cut), `image-N` (the
-snapshot the log stands on, if any) and `mark` (how far the log was flushed when it was last written).
+A folder holds `log-N` (a header, then a record for each term and vote, entry and truncation), `image-N` (the
+snapshot that the log continues, if any) and `mark` (how far the log was flushed when it was last written).
 """
 
 import os
@@ -21,37 +20,37 @@
 from sableford.consensus.messages import Entry
 from sableford.consensus.state_machine import Snapshot
 
-FORM = 1
-_FRAME = Struct("<2sII")  # magic, size, CRC32C of size and body
+FORMAT_VERSION = 1
+_RECORD_HEADER = Struct("<2sII")  # magic, size, CRC32C of size and body
 MAGIC = b"\xa5r"
-MOST = 64 * 1024 * 1024  # bytes of one record: a snapshot; a longer one is a size that was changed
+MAX_RECORD_BYTES = 64 * 1024 * 1024  # bytes of the largest record, a snapshot; a larger size field is corrupt
 
 
-class Head(msgspec.Struct, array_like=True, frozen=True, tag=0):
-    form: int
+class LogHeader(msgspec.Struct, array_like=True, frozen=True, tag=0):
+    format_version: int
     name: str
     id: str
-    snapshot: int  # the last entry of the snapshot it stands on, 0 for none
+    snapshot: int  # the last entry of the snapshot that the log continues, 0 for none
     first: int
     before: int
     lost: tuple[int, int] | None = None
 
 
-class _Meta(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class _HardStateRecord(msgspec.Struct, array_like=True, frozen=True, tag=1):
     term: int
     vote: str
 
 
-class _Add(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class _EntryRecord(msgspec.Struct, array_like=True, frozen=True, tag=2):
     index: int
     entry: Entry
 
 
-class _Cut(msgspec.Struct, array_like=True, frozen=True, tag=3):
+class _TruncateRecord(msgspec.Struct, array_like=True, frozen=True, tag=3):
     index: int
 
 
-class _Mark(msgspec.Struct, array_like=True, frozen=True):
+class _FlushMark(msgspec.Struct, array_like=True, frozen=True):
     log: str
     size: int
     term: int
@@ -59,29 +58,29 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(Head | _Meta | _Add | _Cut).decode
-_mark = msgspec.msgpack.Decoder(_Mark).decode
-_image = msgspec.msgpack.Decoder(Snapshot).decode
+_decode_record = msgspec.msgpack.Decoder(LogHeader | _HardStateRecord | _EntryRecord | _TruncateRecord).decode
+_decode_mark = msgspec.msgpack.Decoder(_FlushMark).decode
+_decode_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
 def frame(body: bytes) -> bytes:
     size = len(body).to_bytes(4, "little")
-    return _FRAME.pack(MAGIC, len(body), google_crc32c.value(size + body)) + body
+    return _RECORD_HEADER.pack(MAGIC, len(body), google_crc32c.value(size + body)) + body
 
 
-def _body(data: bytes, at: int) -> bytes | None:
-    """The whole and sound body that begins there."""
-    if at + _FRAME.size > len(data):
+def _record_body(data: bytes, at: int) -> bytes | None:
+    """The body of the record at `at`, or None where it is incomplete or damaged."""
+    if at + _RECORD_HEADER.size > len(data):
         return None
-    magic, size, check = _FRAME.unpack_from(data, at)
-    body = data[at + _FRAME.size : at + _FRAME.size + size]
-    if magic != MAGIC or size > MOST or len(body) < size:
+    magic, size, check = _RECORD_HEADER.unpack_from(data, at)
+    body = data[at + _RECORD_HEADER.size : at + _RECORD_HEADER.size + size]
+    if magic != MAGIC or size > MAX_RECORD_BYTES or len(body) < size:
         return None
     return body if google_crc32c.value(size.to_bytes(4, "little") + body) == check else None
 
 
 def frames(data: bytes) -> tuple[list[bytes], int, list[bytes]]:
-    """The sound bodies from the start, where they end, and sound ones behind what is bad.
+    """The valid records from the start, where they end, and valid records after the damage; bodies only.
 
     >>> one, two = frame(b"one"), frame(b"two")
     >>> frames(one + two)[0], frames(one + two[:-1]) == ([b"one"], len(one), [])
@@ -90,32 +89,33 @@
     ([], 0, [b'two'])
     """
     bodies, at = [], 0
-    while (body := _body(data, at)) is not None:
+    while (body := _record_body(data, at)) is not None:
         bodies.append(body)
-        at += _FRAME.size + len(body)
+        at += _RECORD_HEADER.size + len(body)
     behind, look = [], data.find(MAGIC, at + 1)
     while look >= 0:
-        body = _body(data, look)
+        body = _record_body(data, look)
         if body is not None:
             behind.append(body)
-            look += _FRAME.size + len(body)
+            look += _RECORD_HEADER.size + len(body)
         look = data.find(MAGIC, look + (body is None))
     return bodies, at, behind
 
 
 class Found(msgspec.Struct):
-    """What a folder comes to: what is held, which log goes on at which size, and what is to be said of it."""
+    """The result of recovery: the state, the log file and its valid size, and messages about damage."""
 
     held: StoredState
     log: str = ""
     size: int = 0
     said: list[str] = []
-    aside: list[str] = []  # files of another's folder, or that say nothing any more
+    aside: list[str] = []  # files to set aside: of another process, or unreadable
     failed: str = ""  # why it can't be written
 
 
 def recover(name: str, files: dict[str, bytes | None], new_id: str) -> Found:
-    """`files`: by name, none for one that can't be read."""
+    """Recovers the state from `files`, contents by name, None where a file can't be read. The newest log with
+    a valid header is used."""
     logs = sorted((file for file in files if file.startswith("log-")), key=_number, reverse=True)
     if not logs:
         return Found(StoredState(new_id))
@@ -127,15 +127,15 @@
             continue
         bodies, size, behind = frames(text)
         try:
-            head = _record(bodies[0]) if bodies else None
+            header = _decode_record(bodies[0]) if bodies else None
         except msgspec.MsgspecError:
-            head = None
-        if not isinstance(head, Head) or head.form != FORM:
+            header = None
+        if not isinstance(header, LogHeader) or header.format_version != FORMAT_VERSION:
             said.append(f"{log} has no head")
             continue
-        if head.name != name:
-            return Found(StoredState(new_id), said=[f"the folder is {head.name}'s"], aside=list(files))
-        return _read(log, head, bodies[1:], size, behind, files, len(text), said)
+        if header.name != name:
+            return Found(StoredState(new_id), said=[f"the folder is {header.name}'s"], aside=list(files))
+        return _replay(log, header, bodies[1:], size, behind, files, len(text), said)
     return Found(StoredState(new_id), said=said, aside=list(files))
 
 
@@ -144,9 +144,9 @@
     return int(digits) if digits.isdigit() else 0
 
 
-def _read(
+def _replay(
     log: str,
-    head: Head,
+    header: LogHeader,
     bodies: list[bytes],
     size: int,
     behind: list[bytes],
@@ -157,85 +157,86 @@
     term, vote, entries, bad = 0, "", [], False
     for body in bodies:
         try:
-            record = _record(body)
-        except msgspec.MsgspecError:  # sound, but of a later version
+            record = _decode_record(body)
+        except msgspec.MsgspecError:  # valid, but written by a later version
             said.append(f"{log} has a record of a kind that this version does not know")
             bad = True
             break
         match record:
-            case _Meta():
+            case _HardStateRecord():
                 term, vote = record.term, record.vote
-            case _Add() if record.index == head.first + len(entries):
+            case _EntryRecord() if record.index == header.first + len(entries):
                 entries.append(record.entry)
-            case _Cut():
-                del entries[max(0, record.index + 1 - head.first) :]
-    last = head.first + len(entries) - 1
-    lost = head.lost
+            case _TruncateRecord():
+                del entries[max(0, record.index + 1 - header.first) :]
+    last = header.first + len(entries) - 1
+    lost = header.lost
     if behind or bad:
-        lost = max([lost or (0, 0), (term, last), *_seen(behind)])
+        lost = max([lost or (0, 0), (term, last), *_positions_in(behind)])
         said.append(f"{log} is damaged at byte {size}: what stood behind is fetched from the others")
-    if (mark := _marked(files.get("mark"))) is not None and mark.log == log and (mark.size > size or bad):
+    if (mark := _parse_mark(files.get("mark"))) is not None and mark.log == log and (mark.size > size or bad):
         lost = max(lost or (0, 0), (mark.term, mark.last))
         said.append(f"{log} was flushed up to byte {mark.size}, {size} of them are sound")
     if lost is None and length > size:
         said.append(f"{log} ended in a record that was never whole; it is cut off")
     snapshot = None
-    if head.snapshot:
-        snapshot = _snapshot(files.get(f"image-{head.snapshot}"))
+    if header.snapshot:
+        snapshot = _parse_snapshot(files.get(f"image-{header.snapshot}"))
         if snapshot is None:
-            lost = max(lost or (0, 0), (term, max(last, head.snapshot)))
-            said.append(f"image-{head.snapshot} is missing or damaged: it is fetched from the others")
-            return Found(StoredState(head.id, term, vote, lost=lost), log, size, said)
-    held = StoredState(head.id, term, vote, snapshot, head.first, head.before, tuple(entries), lost)
+            lost = max(lost or (0, 0), (term, max(last, header.snapshot)))
+            said.append(f"image-{header.snapshot} is missing or damaged: it is fetched from the others")
+            return Found(StoredState(header.id, term, vote, lost=lost), log, size, said)
+    held = StoredState(header.id, term, vote, snapshot, header.first, header.before, tuple(entries), lost)
     return Found(held, log, size, said)
 
 
-def _seen(behind: Iterable[bytes]) -> list[tuple[int, int]]:
-    """Terms and entries that stand behind a bad record."""
+def _positions_in(behind: Iterable[bytes]) -> list[tuple[int, int]]:
+    """The highest term and the highest entry index among records after a damaged one."""
     seen, term = [], 0
     for body in behind:
         try:
-            record = _record(body)
+            record = _decode_record(body)
         except msgspec.MsgspecError:
             continue
-        if isinstance(record, _Meta):
+        if isinstance(record, _HardStateRecord):
             term = max(term, record.term)
             seen.append((term, 0))
-        elif isinstance(record, _Add):
+        elif isinstance(record, _EntryRecord):
             seen.append((max(term, record.entry.term), record.index))
-    # The highest term, and the highest entry, need not stand in one record.
+    # They need not come from the same record.
     return [(max(t for t, _ in seen), max(i for _, i in seen))] if seen else []
 
 
-def _marked(text: bytes | None) -> _Mark | None:
+def _parse_mark(text: bytes | None) -> _FlushMark | None:
     try:
         bodies = frames(text)[0] if text else []
-        return _mark(bodies[0]) if bodies else None
+        return _decode_mark(bodies[0]) if bodies else None
     except msgspec.MsgspecError:
         return None
 
 
-def _snapshot(text: bytes | None) -> Snapshot | None:
+def _parse_snapshot(text: bytes | None) -> Snapshot | None:
     try:
         bodies = frames(text)[0] if text else []
-        return _image(bodies[0]) if bodies else None
+        return _decode_snapshot(bodies[0]) if bodies else None
     except msgspec.MsgspecError:
         return None
 
 
 class LogFiles:
-    """The folder in use. All of it is a hand's; after a failure only a `Whole` is taken."""
+    """The open folder. All calls come from one worker thread; after a failure only a `ReplaceLog` is
+    accepted."""
 
     def __init__(self, disk: Disk, name: str) -> None:
         self._disk, self._name = disk, name
         self._log, self._size = "", 0
         self._image = 0
         self._term = self._last = 0
-        self._broken = False
+        self._has_failed = False
         self._opened = False
 
     def open(self) -> Found:
-        """What the folder holds; a fresh one, and one that is not whole, is written anew."""
+        """Recovers the folder's state and writes it to a new log file, so that damage is not read twice."""
         files: dict[str, bytes | None] = {}
         for file in self._disk.names():
             try:
@@ -255,33 +256,33 @@
                 self._disk.remove(file)
             self._write(whole)
         except OSError as problem:
-            self._broken, found.failed = True, str(problem)
+            self._has_failed, found.failed = True, str(problem)
         return found
 
     def keep(self, writes: Iterable[object]) -> None:
-        """All of them on the disk, in their order; OSError where not all surely are."""
+        """Makes all writes durable, in their order; raises OSError unless all of them certainly are."""
         writes = list(writes)
         try:
             at = max((at for at, write in enumerate(writes) if isinstance(write, ReplaceLog)), default=None)
-            if at is not None:  # what stood before it is in it
+            if at is not None:  # it includes the writes before it
                 self._write(writes[at])
                 writes = writes[at + 1 :]
-            elif self._broken:
+            elif self._has_failed:
                 raise OSError("an earlier write failed")
             if not writes:
                 return
-            text = b"".join(frame(_encode(_form(write))) for write in writes)
+            text = b"".join(frame(_encode(_to_record(write))) for write in writes)
             self._disk.append(self._log, text)
             self._disk.sync(self._log)
             self._size += len(text)
             for write in writes:
-                self._become_follower(write)
-            self._note_progress()
+                self._note_written(write)
+            self._write_mark()
         except OSError:
-            self._broken = True
+            self._has_failed = True
             raise
 
-    def _become_follower(self, write: object) -> None:
+    def _note_written(self, write: object) -> None:
         match write:
             case HardState(term):
                 self._term = term
@@ -291,34 +292,36 @@
                 self._last = index
 
     def _write(self, whole: ReplaceLog) -> None:
-        """A new log beside the old one, which goes once the new one is whole."""
+        """Writes a new log file beside the old one, which is removed once the new one is durable."""
         if whole.snapshot is not None and whole.snapshot.last != self._image:
             self._disk.write(f"image-{whole.snapshot.last}", frame(_encode(whole.snapshot)))
         snapshot = whole.snapshot.last if whole.snapshot else 0
-        head = Head(FORM, self._name, whole.id, snapshot, whole.first, whole.before, whole.lost)
-        records = [head, _Meta(*whole.meta)]
-        records += [_Add(index, entry) for index, entry in enumerate(whole.entries, whole.first)]
+        header = LogHeader(
+            FORMAT_VERSION, self._name, whole.id, snapshot, whole.first, whole.before, whole.lost
+        )
+        records = [header, _HardStateRecord(*whole.meta)]
+        records += [_EntryRecord(index, entry) for index, entry in enumerate(whole.entries, whole.first)]
         text = b"".join(frame(_encode(record)) for record in records)
         log = f"log-{_number(self._log) + 1}"
         self._disk.write(log, text)
-        self._log, self._size, self._broken, self._image = log, len(text), False, snapshot
+        self._log, self._size, self._has_failed, self._image = log, len(text), False, snapshot
         self._term = max([whole.meta.term, *(entry.term for entry in whole.entries)])
         self._last = whole.first + len(whole.entries) - 1
-        self._note_progress()
+        self._write_mark()
         for file in self._disk.names():
             if file.startswith(("log-", "image-")) and file not in (log, f"image-{snapshot}"):
                 self._disk.remove(file)
 
-    def _note_progress(self) -> None:
-        self._disk.note("mark", frame(_encode(_Mark(self._log, self._size, self._term, self._last))))
+    def _write_mark(self) -> None:
+        self._disk.note("mark", frame(_encode(_FlushMark(self._log, self._size, self._term, self._last))))
 
 
-def _form(write: object) -> object:
+def _to_record(write: object) -> object:
     match write:
         case HardState(term, vote):
-            return _Meta(term, vote)
+            return _HardStateRecord(term, vote)
         case AppendToLog(index, entry):
-            return _Add(index, entry)
+            return _EntryRecord(index, entry)
         case TruncateLog(index):
-            return _Cut(index)
+            return _TruncateRecord(index)
     raise TypeError(f"{write!r} is not kept")
--- a/sableford/consensus/messages.py
+++ b/sableford/consensus/messages.py
@@ -1,4 +1,4 @@
-"""The record's entries, and the words that voters and learners exchange over them."""
+"""Log entries, and the messages that voters and learners exchange."""
 
 from enum import IntEnum
 
@@ -8,7 +8,8 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """`author` and `number` tell a repeat of the same proposal; `data` is the kind's own."""
+    """A log entry. `author` and `number` identify a proposal, so that a repeat is recognized; the form of
+    `data` depends on `kind`."""
 
     term: int
     kind: int
@@ -18,8 +19,8 @@
 
 
 class Put(msgspec.Struct, array_like=True, frozen=True):
-    """A key's new value, none to remove it; only where the key was last changed by entry `after`, unless
-    that is below 0."""
+    """Sets a key, or removes it if `value` is None. With `after` >= 0 it takes effect only if entry
+    `after` was the last to change the key."""
 
     key: str
     value: bytes | None
@@ -27,7 +28,8 @@
 
 
 class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """May I lead? With `pre` only asked, so that one that was cut off disturbs nobody."""
+    """Requests a vote, or a pre-vote if `pre`, which changes no state: a candidate that was cut off does not
+    disturb the others."""
 
     id: str
     term: int
@@ -37,7 +39,7 @@
 
 
 class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """`quiet_ms`: for how long this voter has answered no leader; 0 from versions that do not say it."""
+    """`quiet_ms`: for how long this voter has responded to no leader; 0 from versions that do not send it."""
 
     id: str
     term: int
@@ -52,23 +54,23 @@
     prev: int
     prev_term: int
     commit: int
-    round: int  # counts the leader's rounds, so that a read knows an answer is from after it was asked
-    kept: int  # how far the leader's own disk is: it may not come back with less
+    round: int  # the heartbeat round: a read needs responses to a round that began after it
+    kept: int  # the last entry durable at the leader: less after a restart means that its folder was replaced
     entries: tuple[Entry, ...] = ()
-    first: int = 0  # the leader's first entry kept: who needs one before it fetches a snapshot
-    voter: str = ""  # the addressee's id by the leader's voters; none: it is no voter, and is to fetch
+    first: int = 0  # first entry in the leader's log: who needs an earlier one fetches the snapshot
+    voter: str = ""  # the receiver's id among the leader's voters; empty: not a voter, it is to fetch
 
 
 class AppendResponse(msgspec.Struct, array_like=True, frozen=True, tag=14):
     id: str
     term: int
     yes: bool
-    last: int  # what is surely held, or where to try again from
+    last: int  # the last entry that is durable, or where to retry from
     round: int
 
 
 class FetchRequest(msgspec.Struct, array_like=True, frozen=True, tag=15):
-    """What comes after entry `have`? Of a snapshot under way, from byte `at`."""
+    """Requests the entries after `have`, or the rest of the snapshot up to entry `snap` from byte `at`."""
 
     id: str
     have: int
@@ -77,28 +79,28 @@
 
 
 class FetchResponse(msgspec.Struct, array_like=True, frozen=True, tag=16):
-    """Settled entries from `first` on, and how far they are settled."""
+    """Committed entries from `first` on, and the commit index."""
 
     term: int
     first: int
     commit: int
     entries: tuple[Entry, ...] = ()
     leader: str = ""
-    through: int = 0  # the last entry of this answer; what comes next is to be asked for
+    through: int = 0  # the last entry of this response; the receiver requests what follows
 
 
 class SnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=17):
-    """A piece of the snapshot up to entry `last`."""
+    """A part of the snapshot that includes all entries up to `last`: bytes from `at`, `of` bytes in all."""
 
     last: int
     at: int
     of: int
     data: bytes
-    through: int = 0  # the bytes up to which this answer goes; the next are to be asked for
+    through: int = 0  # the byte at which this response ends; the receiver requests what follows
 
 
 class ProposeRequest(msgspec.Struct, array_like=True, frozen=True, tag=18):
-    """To the leader: put it into the record; or where `data` is none, say how far a read has to see."""
+    """Asks the leader to append an entry; or, if `data` is None, for the index that a read waits for."""
 
     number: int
     kind: int = int(Kind.PUT)
@@ -106,8 +108,8 @@
 
 
 class ProposeResponse(msgspec.Struct, array_like=True, frozen=True, tag=19):
-    """It stands at `index` or not, and why; a read may be served from there on. `birth` is the asker's: an
-    answer to the process before it is not one to this."""
+    """The outcome of a proposal, and its index; for a read, the index from which it may be served.
+    `incarnation` is the requester's: a response to an earlier process of that name is ignored."""
 
     incarnation: int
     number: int
@@ -117,7 +119,7 @@
 
 
 class StartupQuestion(msgspec.Struct, array_like=True, frozen=True, tag=20):
-    """From a voter that has just started: who it is, and how far its folder goes."""
+    """From a voter that has just started: its id, and how far its log goes."""
 
     id: str
     term: int
@@ -126,7 +128,7 @@
 
 
 class StartupAnswer(msgspec.Struct, array_like=True, frozen=True, tag=21):
-    """What I have heard of you: id, term and last entry; and whether my record names the voters' ids."""
+    """What the sender knows of the receiver: id, term and last entry; and whether it knows voter ids."""
 
     id: str
     your_id: str
@@ -134,7 +136,7 @@
     your_last: int
     knows_voter_ids: bool
     voters: dict[str, str] = {}
-    agreed: int = -1  # the last entry that the sender knows to be agreed on, and whose voters these are
+    agreed: int = -1  # the sender's commit index, at which `voters` are the voters
 
 
 RaftMessage = (
--- a/sableford/consensus/proposals.py
+++ b/sableford/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals and reads: said again until a leader answers (Ongaro's dissertation, chapter 6)."""
+"""Proposals and linearizable reads, retried until a leader responds (Ongaro's dissertation, chapter 6)."""
 
 from sableford.consensus.constants import FORGOTTEN, MAX_PROPOSALS, MOVED, PROPOSAL_RETRY
 from sableford.consensus.effects import Effect, ProposalResult, Send
@@ -7,12 +7,12 @@
 
 
 class Proposals(RaftState):
-    """Proposals of this process, and those that a leader takes."""
+    """Proposals and reads of this process, and those that it handles as the leader."""
 
     def propose(self, now: float, data: bytes | None, kind: int = Kind.PUT) -> tuple[int, list[Effect]]:
-        """Something for the record, or a read where there is no data; it goes on until it is answered or
-        `drop`ped. The number is the answer's."""
-        # Reads have numbers of their own: the window of those remembered is for what stands in the log.
+        """Proposes an entry, or starts a read if `data` is None. It is retried until it is answered or
+        `drop`ped; the returned number is that of its `ProposalResult`."""
+        # Reads have a number sequence of their own: the window of remembered numbers is for log entries.
         if data is None:
             self._next_read -= 1
             number = self._next_read
@@ -27,15 +27,15 @@
         return number, self._retry_proposals(now)
 
     def drop(self, number: int) -> None:
-        """Nobody waits for it any more; it may stand in the record all the same."""
+        """Stops retrying a proposal; it may still be committed."""
         self._proposals.pop(number, None)
 
     def _retry_proposals(self, now: float) -> list[Effect]:
         out: list[Effect] = []
         for number, one in list(self._proposals.items()):
-            if one.need or now - one.said_at < PROPOSAL_RETRY or not self.leader:
+            if one.need or now - one.sent_at < PROPOSAL_RETRY or not self.leader:
                 continue
-            one.said_at = now
+            one.sent_at = now
             message = ProposeRequest(number, one.kind, one.data)
             out += (
                 self._handle_propose_request(now, self.name, self.incarnation, message)
@@ -48,7 +48,7 @@
         self, now: float, sender: str, incarnation: int, message: ProposeRequest
     ) -> list[Effect]:
         if not self.leads:
-            return []  # said again to whoever leads by then
+            return []  # the sender retries with whoever leads by then
         if message.data is None:
             return self._handle_read(now, PendingRead(self._round + 1, sender, incarnation, message.number))
         author = f"{sender}#{incarnation}"
@@ -56,38 +56,38 @@
             index, held = known
             why = "" if held else MOVED if index else FORGOTTEN
             return self._respond(sender, ProposeResponse(incarnation, message.number, held, index, why))
-        if (author, message.number) in self._taken:
+        if (author, message.number) in self._uncommitted_proposals:
             return []
-        self._taken[author, message.number] = self.last + 1
+        self._uncommitted_proposals[author, message.number] = self.last + 1
         out = self._append_own(Entry(self.term, message.kind, author, message.number, message.data))
         for name, one in self._followers.items():
-            if one.next == self.last:  # else it is behind and fed by its answers
+            if one.next == self.last:  # else it is behind: its responses trigger sending
                 out += self._send_entries(name, one)
         return out
 
     def _handle_read(self, now: float, read: PendingRead) -> list[Effect]:
-        """A round of heartbeats that begins after it was asked; while one is out for others it waits for the
-        next, so that many reads cost no more rounds than a few."""
-        if any(read[1:] == other[1:] for other in self._reads):  # said again
+        """Queues a read for a heartbeat round that begins after it. While a round for other reads is in
+        flight it waits for the next, so that many reads share a few rounds."""
+        if any(read[1:] == other[1:] for other in self._pending_reads):  # a retry
             return []
-        under_way = any(other.round <= self._round for other in self._reads)
-        self._reads.append(read)
+        under_way = any(other.round <= self._round for other in self._pending_reads)
+        self._pending_reads.append(read)
         return [] if under_way else self._send_heartbeats(now)
 
     def _answer_reads(self) -> list[Effect]:
-        """Those whose round a majority has answered: where the asker may read from."""
-        # Before an entry of its own term is agreed on, a leader may not know how far it went before.
-        if not self._reads or self.term_at(self.commit) != self.term:
+        """Answers the reads whose round a majority has acknowledged, with the index to read at."""
+        # Until an entry of its own term is committed, a leader may not know the full commit index.
+        if not self._pending_reads or self.term_at(self.commit) != self.term:
             return []
         rounds = {name: one.round for name, one in self._followers.items()} | {self.name: self._round}
         out: list[Effect] = []
-        for read in list(self._reads):
+        for read in list(self._pending_reads):
             if self._majority(name for name, heard in rounds.items() if heard >= read.round):
-                self._reads.remove(read)
+                self._pending_reads.remove(read)
                 out += self._respond(
                     read.asker, ProposeResponse(read.incarnation, read.number, True, self.commit)
                 )
-        if self._reads and all(read.round > self._round for read in self._reads):
+        if self._pending_reads and all(read.round > self._round for read in self._pending_reads):
             out += self._send_heartbeats(self._last_tick)
         return out
 
--- a/sableford/consensus/raft_node.py
+++ b/sableford/consensus/raft_node.py
@@ -1,18 +1,17 @@
-"""The record's decisions: who leads, what is agreed, who may vote. Raft as published (Ongaro, Ousterhout
-2014) with pre-vote, leaders that step down without a majority, voters changed one at a time, learners that
-fetch.
+"""One process's part in the replicated log. Raft (Ongaro, Ousterhout 2014) with pre-vote, leaders that step
+down without a majority, voters changed one at a time, and learners that fetch.
 
-It owns what one process holds of the record. It has no clock, disk or socket: times, words and the disk's
-answers come in, effects go out. What a disk has not said to be stored is never spoken of to others.
+A node does no I/O and has no clock: times, messages and the disk's results come in, effects go out. Nothing
+is acknowledged to others before the disk has confirmed it.
 
-Who may vote stands in `STANDING`; a process that is unsure of its own past does not.
+`Standing` says who may vote: a process does not as long as it is unsure whether its folder is complete.
 """
 
 import msgspec
 
-from sableford.consensus.constants import HEARTBEAT, LATE_TICK
+from sableford.consensus.constants import HEARTBEAT, LATE_TICK_THRESHOLD
 from sableford.consensus.effects import (
-    VOTES,
+    VOTING_STANDINGS,
     Effect,
     Standing,
 )
@@ -40,43 +39,46 @@
 
 
 class RaftNode(Startup, Elections, Replication, VoterChanges, Snapshots, Proposals):
-    """One process's side. `tick` at `due`, `heard` for each word, `stored` and `failed` from the disk."""
-
-    # Time
+    """The host calls `tick` at `due`, `heard` for each message, `stored` or `failed` after a write."""
 
     def tick(self, now: float) -> list[Effect]:
         out: list[Effect] = []
-        if self._whole_due:
-            self._whole_due = False
+        if self._rewrite_due:
+            self._rewrite_due = False
             out += self._persist(self._replace_log())
-        if now - self._last_tick > LATE_TICK + HEARTBEAT and not self.leads:
-            self._due_at = max(self._due_at, self._election_deadline(now))  # it stood still itself
+        if now - self._last_tick > LATE_TICK_THRESHOLD + HEARTBEAT and not self.leads:
+            # This process was stalled.
+            self._election_due_at = max(self._election_due_at, self._election_deadline(now))
         self._last_tick = now
         if self.standing in (Standing.NEW, Standing.ASKING) and now >= self._startup_question_at:
-            out += self._ask_about_past(now)
+            out += self._send_startup_questions(now)
         if self.standing in (Standing.REPLACED, Standing.LEARNER) and self._is_voter(self.name, self.id):
-            out += self._voter_again()
+            out += self._readmitted()
         if self.leads:
             out += self._lead_tick(now)
-        elif self.standing in VOTES and now >= self._due_at and self._is_voter(self.name, self.id):
+        elif (
+            self.standing in VOTING_STANDINGS
+            and now >= self._election_due_at
+            and self._is_voter(self.name, self.id)
+        ):
             out += self._start_election(now)
         elif not self._is_voter(self.name, self.id) or self._fetching is not None or self._leaderless(now):
             out += self._fetch_if_due(now)
-        self._forget_served(now)
+        self._expire_snapshot_cache(now)
         out += self._retry_proposals(now)
         waits = not self.leads and self._is_voter(self.name, self.id)
-        self.due = min(now + HEARTBEAT, max(now + 1.0, self._due_at)) if waits else now + HEARTBEAT
+        self.due = min(now + HEARTBEAT, max(now + 1.0, self._election_due_at)) if waits else now + HEARTBEAT
         return out
 
     def met(self, now: float) -> None:
-        """A way to another process is open: what waits for its answer asks now."""
+        """A connection to another process was opened: startup questions are sent again at once."""
         if self.standing in (Standing.NEW, Standing.ASKING):
             self._startup_question_at = self.due = now
 
     # Messages
 
     def heard(self, now: float, sender: str, incarnation: int, message: RaftMessage) -> list[Effect]:
-        """A word from another process of the fleet."""
+        """Handles a message from another process."""
         match message:
             case StartupQuestion():
                 return self._handle_startup_question(now, sender, message)
@@ -104,5 +106,5 @@
 
 
 def put(key: str, value: bytes | None, after: int = -1) -> bytes:
-    """The data of an entry that sets a key."""
+    """The data of an entry that sets or removes a key (see `Put`)."""
     return msgspec.msgpack.encode(Put(key, value, after))
--- a/sableford/consensus/raft_state.py
+++ b/sableford/consensus/raft_state.py
@@ -1,6 +1,6 @@
-"""The record's state at one process, what can be read from it, and its way to the disk.
+"""State of one Raft node, queries on it, and persistence.
 
-What the disk has not confirmed is never told to others.
+Messages that depend on a write are held back until the disk has confirmed it.
 """
 
 from collections import deque
@@ -13,9 +13,9 @@
 
 from sableford.consensus.constants import (
     DATAGRAMS,
-    EARLY_PIECES,
     ELECTION_TIMEOUT,
     ENTRY_OVERHEAD,
+    MAX_EARLY_CHUNKS,
     STARTUP_ANSWER_TIMEOUT,
     UNKNOWN,
     Transport,
@@ -23,10 +23,10 @@
 from sableford.consensus.effects import (
     Effect,
     HardState,
+    LogDurable,
     LogEvent,
     OwnVoteCounts,
     Persist,
-    Persisted,
     ReplaceLog,
     Send,
     Standing,
@@ -40,37 +40,37 @@
     StartupAnswer,
     VoteResponse,
 )
-from sableford.consensus.state_machine import MOST_VALUE, Snapshot, StateMachine
+from sableford.consensus.state_machine import MAX_VALUE_BYTES, Snapshot, StateMachine
 
 
 def entry_size(entry: Entry) -> int:
-    """About how many bytes it takes in a message or on disk."""
+    """The approximate size of an entry in a message or on disk."""
     return len(entry.data) + ENTRY_OVERHEAD
 
 
 class Follower:
-    __slots__ = ("back_at", "fetched_at", "heard", "match", "next", "round", "said_to")
+    __slots__ = ("acked_sent_at", "heard", "last_fetch_at", "match", "next", "resent_at", "round")
 
     def __init__(self, last: int, now: float) -> None:
-        self.back_at = -1e12  # when it was last fed anew from where it said
+        self.resent_at = -1e12  # when entries were last sent again after it rejected some
         self.next, self.match, self.round, self.heard = last + 1, 0, 0, now
-        self.fetched_at = -1e12  # when it fetched last
-        self.said_to = -1e12  # when the newest word went out that it has answered
+        self.last_fetch_at = -1e12  # when it last fetched
+        self.acked_sent_at = -1e12  # when the newest round that it has acknowledged was sent
 
 
-class FetchedSnapshot:
-    """A snapshot under way to this process, from one that serves it."""
+class SnapshotTransfer:
+    """A snapshot that is being fetched from another process."""
 
     __slots__ = ("_early", "asked_at", "data", "last", "size", "source")
 
     def __init__(self, source: str, last: int, size: int) -> None:
         self.source, self.last, self.size, self.data = source, last, size, bytearray()
-        self.asked_at = 0  # the byte from which it was asked for last
-        self._early: dict[int, bytes] = {}  # pieces that came before one that they follow on
+        self.asked_at = 0  # the byte from which it was last requested
+        self._early: dict[int, bytes] = {}  # received out of order, by offset
 
     def take(self, at: int, data: bytes) -> None:
-        """One piece; those of other answers too."""
-        if at > len(self.data) and len(self._early) < EARLY_PIECES:
+        """Adds a chunk, of any response to a fetch of this snapshot."""
+        if at > len(self.data) and len(self._early) < MAX_EARLY_CHUNKS:
             self._early[at] = data
         if at != len(self.data):
             return
@@ -80,7 +80,7 @@
 
 
 class PendingRead(NamedTuple):
-    """A read that a leader was asked for: answered once a majority has answered that round."""
+    """A read at the leader: answered once a majority has acknowledged heartbeat round `round`."""
 
     round: int
     asker: str
@@ -89,18 +89,19 @@
 
 
 class Learner(NamedTuple):
-    """What a leader knows of one that fetches. Its progress is measured in rounds (Ongaro's dissertation,
-    4.2.1): a round ends once it holds all that was agreed on when the round began."""
+    """What the leader knows of a learner. Its progress is measured in rounds (Ongaro's dissertation, 4.2.1):
+    a round ends once the learner holds all that was committed when the round began."""
 
     id: str
     caught_up: bool
     heard: float
-    goal: int = 0  # the last index of this round
-    began: float = 0.0  # this round
+    goal: int = 0  # the index at which this round ends
+    began: float = 0.0  # when this round began
 
     def fetched(self, now: float, have: int, round_commit: int, commit: int) -> "Learner":
-        """It holds all up to `have`. `round_commit`: agreed on when the last heartbeats went out; `commit`:
-        agreed on now. While entries are agreed on all the time it holds no more than the last round's."""
+        """The learner holds all entries up to `have`. `round_commit`: the commit index when the last
+        heartbeats were sent; `commit`: the commit index now. Under constant commits it never holds more
+        than `round_commit`."""
         is_quick = now - self.began <= ELECTION_TIMEOUT
         if have < round_commit and have < self.goal:
             return self._replace(caught_up=self.caught_up and is_quick, heard=now)
@@ -109,12 +110,12 @@
 
 
 def learner(id: str, now: float, commit: int) -> Learner:
-    """One that fetches for the first time."""
+    """A learner at its first fetch."""
     return Learner(id, False, now, commit, now)
 
 
-def _without_gap(held: StoredState) -> StoredState:
-    """Entries that do not follow on the snapshot can't be applied: they count as lost."""
+def _drop_entries_after_gap(held: StoredState) -> StoredState:
+    """Entries that do not directly follow the snapshot can't be applied: they count as lost."""
     image_last, image_term = (held.snapshot.last, held.snapshot.term) if held.snapshot is not None else (0, 0)
     if held.first <= image_last + 1:
         return held
@@ -124,11 +125,11 @@
 
 
 class PendingProposal:
-    __slots__ = ("data", "kind", "need", "said_at")
+    __slots__ = ("data", "kind", "need", "sent_at")
 
     def __init__(self, kind: int, data: bytes | None) -> None:
-        self.kind, self.data, self.said_at = kind, data, -1e12
-        self.need = 0  # of a read: the entry that has to be in force here
+        self.kind, self.data, self.sent_at = kind, data, -1e12
+        self.need = 0  # of a read: the entry that must have been applied here
 
 
 class RaftState:
@@ -140,92 +141,102 @@
         held: StoredState,
         now: float,
         seed: int,
-        most: int = MOST_VALUE,
+        most: int = MAX_VALUE_BYTES,
         newcomer: bool = False,
         startup_answer_timeout: float = STARTUP_ANSWER_TIMEOUT,
         transport: Transport = DATAGRAMS,
     ) -> None:
-        """`voters`: the names that the file gives; their ids are agreed on when all meet for the first
-        time. `most` bytes of one value: what the way between the processes carries. `newcomer`: its folder
-        is empty, others began long ago; it votes once they have voted it in. `startup_answer_timeout`:
-        ms that every voter's answer to the startup question is waited for; then a majority's is enough.
-        `transport`: how much goes at once between the processes."""
+        """`voters`: the configured names; the first leader records their ids. `most`: the largest value in
+        bytes that the transport carries. `newcomer`: the folder is empty and the log already exists
+        elsewhere; the process votes once the others have added it. `startup_answer_timeout`: ms to wait for
+        all voters' answers to the startup question; then a majority is enough. `transport`: batch and window
+        sizes."""
         self._transport = transport
         self.name, self.incarnation, self.id, self._most = name, incarnation, held.id, most
         self._random = Random(f"record {name} {incarnation} {seed}")
-        self._names = tuple(voters)
+        self._configured_voters = tuple(voters)
         self.state_machine = StateMachine()
         self.term, self.vote = held.term, held.vote
-        whole = _without_gap(held)
-        self._whole_due = whole is not held  # the disk holds what was passed over
+        whole = _drop_entries_after_gap(held)
+        self._rewrite_due = whole is not held  # the disk still holds the dropped entries
         held = whole
-        self.first = held.first  # the index of the first entry kept
-        self._before = held.before  # the term of the entry before it
+        self.first = held.first  # index of the first entry in the log
+        self._term_before_first = held.before  # the term of the entry before it
         self.entries: list[Entry] = list(held.entries)
         self.snapshot: Snapshot | None = held.snapshot
-        self._applied_bytes = 0  # of entries applied since the snapshot
-        self._based: dict[str, str] = dict.fromkeys(self._names, "")  # voters by the snapshot or the file
+        self._applied_bytes = 0  # size of the entries applied since the snapshot
+        # Voters by the snapshot or the configuration.
+        self._base_voters: dict[str, str] = dict.fromkeys(self._configured_voters, "")
         if held.snapshot is not None:
             self._adopt_snapshot(held.snapshot)
-        self.wanted = tuple(voters)  # who should vote, as its host sees it; a leader works towards that
-        self.around: tuple[str, ...] = ()  # others who hold the record, as its host sees it
+        self.wanted = tuple(voters)  # voters that the host wants; a leader changes the voters towards them
+        self.around: tuple[str, ...] = ()  # other processes that hold the log, as told by the host
         if newcomer and held.snapshot is None and not self.entries:
-            self._based = dict.fromkeys(self._names, UNKNOWN)
+            self._base_voters = dict.fromkeys(self._configured_voters, UNKNOWN)
         self.commit = self.state_machine.last
         self.durable = self.last
-        self._lost = held.lost
-        if self._lost is not None and self._lost[0] >= self.term:
-            # It may have voted in that term: for whom is lost, so it does so no more.
-            self.term, self.vote = self._lost[0], "?"
-        self.standing = self._was = Standing.LEARNER  # and the one before its disk failed
+        self._lost_position = held.lost
+        if self._lost_position is not None and self._lost_position[0] >= self.term:
+            # It may have voted in that term, and for whom is lost: it must not vote in it again.
+            self.term, self.vote = self._lost_position[0], "?"
+        self.standing = self._standing_before_failure = Standing.LEARNER
         knows_voter_ids = any(self._latest_voters().values())
-        if newcomer and UNKNOWN in self._based.values():
+        if newcomer and UNKNOWN in self._base_voters.values():
             self.standing = Standing.REPLACED
-        elif name in (self._latest_voters() if knows_voter_ids else self._names):
+        elif name in (self._latest_voters() if knows_voter_ids else self._configured_voters):
             self.standing = Standing.ASKING if knows_voter_ids else Standing.NEW
         self.leader = ""
         self.leads = False
         self._voters = self._latest_voters()
-        self._progress: dict[str, tuple[str, int, int]] = {}  # the furthest that was heard of each voter
+        self._progress: dict[
+            str, tuple[str, int, int]
+        ] = {}  # the highest term and entry heard of each voter's folder
         self._startup_answers: dict[str, StartupAnswer] = {}
         self._startup_began_at, self._startup_question_at, self._startup_answer_timeout = (
             now,
             now,
             startup_answer_timeout,
         )
-        self._votes: dict[str, bool] = {}  # who said what in the election under way
-        self._pre = False
+        self._votes: dict[str, bool] = {}  # responses in the current election
+        self._in_pre_vote = False
         self._followers: dict[str, Follower] = {}
-        self._round = self._beat_at = 0
-        self._round_at: dict[int, float] = {}  # when the last rounds went out
-        self._reads: list[PendingRead] = []
+        self._round = self._next_heartbeat_at = 0
+        self._round_sent_at: dict[int, float] = {}  # send times of the last rounds
+        self._pending_reads: list[PendingRead] = []
         self._learners: dict[str, Learner] = {}
-        self._round_commit = 0  # what was agreed on when the last heartbeats went out
-        self._outgoing: dict[str, int] = {}  # voters that are to go: the round in which that was seen first
-        self._waiting: deque[tuple[int, list[Effect]]] = deque()  # until the disk has said so
-        self._stores = 0
-        self._rewritten = inf  # the number of the store that makes a disk that failed good again
+        self._round_commit = 0  # commit index when the last heartbeats were sent
+        self._outgoing: dict[str, int] = {}  # voters to remove: the round in which that was first seen
+        # Effects held back until the numbered write is durable.
+        self._held_back: deque[tuple[int, list[Effect]]] = deque()
+        self._persist_count = 0
+        self._recovery_number = inf  # number of the write that recovers a failed disk
         self._proposals: dict[int, PendingProposal] = {}
         self._next_proposal = self._next_read = 0
-        self._taken: dict[tuple[str, int], int] = {}  # of a leader: proposals under way, their index
-        self._pull_at = now
-        self._source, self._unanswered = "", 0  # whom it asked last, how often since that one answered
-        self._asked_after = 0  # the entry after which it asked last
-        self._invited_at = self._invited_fetch_at = -inf  # by a leader that it does not vote for
-        self._early: dict[int, FetchResponse] = {}  # answers that came before one that they follow on
-        self._fetching: FetchedSnapshot | None = None
-        self._served_snapshots: dict[int, tuple[bytes, float]] = {}  # by last: encoded, when last fetched
-        self._due_at = self._election_deadline(now)
+        self._uncommitted_proposals: dict[
+            tuple[str, int], int
+        ] = {}  # at a leader: index of each proposal that is in the log but not committed
+        self._next_fetch_at = now
+        # The last process fetched from, and the fetches since its last response.
+        self._fetch_source, self._unanswered_fetches = "", 0
+        self._requested_after = 0  # the entry after which it last requested
+        self._learner_heartbeat_at = self._prompted_fetch_at = -inf
+        self._early: dict[int, FetchResponse] = {}  # responses received out of order, by first index
+        self._fetching: SnapshotTransfer | None = None
+        self._snapshot_cache: dict[
+            int, tuple[bytes, float]
+        ] = {}  # by last index: encoded, and when last fetched
+        self._election_due_at = self._election_deadline(now)
         self._last_tick = now
-        self._led_at = now  # when the leader was heard last
-        self._supported_at = now  # until when a leader may have counted on this process's answers
-        self._support: dict[str, float] = {}  # the same of those who have voted for this one
-        self.earlier_leader_until = now  # of a leader: when the one before it could last count a majority
+        self._leader_heard_at = now  # when the leader was last heard
+        self._last_support_at = now  # until when a leader may have counted on this process's responses
+        self._support_ended_at: dict[str, float] = {}  # the same, of those who have voted for this process
+        # At a leader: when an earlier leader can last have counted a majority.
+        self.earlier_leader_until = now
         self.due = now
 
     @property
     def birth(self) -> int:
-        """The incarnation, under the name that it has in the fleet's datagrams."""
+        """The incarnation, under the name that the membership datagrams use."""
         return self.incarnation
 
     @property
@@ -236,9 +247,9 @@
         return self.entries[index - self.first] if self.first <= index <= self.last else None
 
     def term_at(self, index: int) -> int:
-        """Of an entry that is kept or just before the first; -1 of any other."""
+        """The term of an entry in the log or just before the first; -1 for any other."""
         if index == self.first - 1:
-            return self._before
+            return self._term_before_first
         entry = self.at(index)
         return entry.term if entry else -1
 
@@ -246,7 +257,7 @@
         return self._voters
 
     def stable_voters(self) -> dict[str, str] | None:
-        """Who votes, agreed on; none while that is changing."""
+        """The committed voters, or None while a change of them is not committed."""
         if not self.knows_voter_ids() or any(
             entry.kind == Kind.VOTERS for entry in self.entries[max(0, self.commit + 1 - self.first) :]
         ):
@@ -254,26 +265,26 @@
         return dict(self._voters)
 
     def _peers(self) -> list[str]:
-        """Others who may hold the record."""
-        known = dict.fromkeys([*self._names, *self._voters, *self.around])
+        """Other processes that may hold the log."""
+        known = dict.fromkeys([*self._configured_voters, *self._voters, *self.around])
         return [name for name in known if name != self.name]
 
     def knows_voter_ids(self) -> bool:
         return any(self._voters.values())
 
     def _latest_voters(self) -> dict[str, str]:
-        """By the last entry that says so, agreed on or not."""
+        """The voters by the last entry that sets them, committed or not."""
         return self._voters_at(self.last)
 
     def _voters_at(self, index: int) -> dict[str, str]:
-        """By the entries up to that one, as far as they are kept."""
+        """The voters as of entry `index`, as far as the log goes back."""
         for at in range(min(index, self.last), self.first - 1, -1):
             if self.at(at).kind == Kind.VOTERS:
                 return msgspec.msgpack.decode(self.at(at).data, type=dict[str, str])
-        return dict(self._based)
+        return dict(self._base_voters)
 
     def _voters_index(self) -> int:
-        """The entry that named the voters, or one after it."""
+        """The entry that set the voters, or a later one if it is only in the snapshot."""
         for index in range(self.last, self.first - 1, -1):
             if self.at(index).kind == Kind.VOTERS:
                 return index
@@ -294,49 +305,51 @@
         self.standing = standing
         return [LogEvent("record_standing", {"standing": standing.name, "means": standing.value, "why": why})]
 
-    # The disk
+    # Persistence
 
     def _persist(self, *writes: object, then: list[Effect] | None = None) -> list[Effect]:
-        """To the disk; `then` once it is there, and after all that was to be kept before."""
-        self._stores += 1
-        self._waiting.append((self._stores, [Persisted(self.last, self.term_at(self.last)), *(then or [])]))
-        return [Persist(self._stores, writes)]
+        """Writes to disk; `then` follows once this and all earlier writes are durable."""
+        self._persist_count += 1
+        self._held_back.append(
+            (self._persist_count, [LogDurable(self.last, self.term_at(self.last)), *(then or [])])
+        )
+        return [Persist(self._persist_count, writes)]
 
     def _after_persisted(self, then: list[Effect]) -> list[Effect]:
-        """Nothing more to the disk; `then` once all is there that was to be kept before."""
-        if not self._waiting:
+        """Writes nothing; `then` follows once all earlier writes are durable."""
+        if not self._held_back:
             return then
-        number, before = self._waiting.pop()
-        self._waiting.append((number, [*before, *then]))
+        number, before = self._held_back.pop()
+        self._held_back.append((number, [*before, *then]))
         return []
 
     def stored(self, now: float, number: int) -> list[Effect]:
-        """All up to that one is on disk."""
-        if self.standing is Standing.NO_DISK and not self._rewritten <= number:
-            return []  # a write after the one that failed: on a disk that lacks what came before it
+        """All writes up to `number` are durable."""
+        if self.standing is Standing.NO_DISK and not self._recovery_number <= number:
+            return []  # later than the failed write: the disk lacks what came before it
         out: list[Effect] = []
-        while self._waiting and self._waiting[0][0] <= number:
-            for effect in self._waiting.popleft()[1]:
+        while self._held_back and self._held_back[0][0] <= number:
+            for effect in self._held_back.popleft()[1]:
                 match effect:
-                    case Persisted(last, term):
-                        if self.term_at(last) == term:  # else it was cut meanwhile
+                    case LogDurable(last, term):
+                        if self.term_at(last) == term:  # else it was truncated meanwhile
                             self.durable = last
                     case OwnVoteCounts(term):
-                        if term == self.term and not self.leads and not self._pre:
+                        if term == self.term and not self.leads and not self._in_pre_vote:
                             self._votes[self.name] = True
                             out += self._count_votes(now)
                     case Send(_, VoteResponse(term=term) | AppendResponse(term=term)) if term != self.term:
-                        pass  # to the old leader it would count for entries that may be cut by now
+                        pass  # the former leader would count it for entries that may be truncated by now
                     case _:
                         out.append(effect)
         if self.standing is Standing.NO_DISK:
-            # What it holds in memory was never in doubt; only a new process has to ask how far it was.
-            out += self._set_standing(self._was, "its disk takes it again")
+            # The state in memory is complete; only a new process has to ask how far its folder went.
+            out += self._set_standing(self._standing_before_failure, "its disk takes it again")
             if self.standing in (Standing.NEW, Standing.ASKING):
                 self._startup_answers.clear()
                 self._startup_began_at = self._startup_question_at = now
-        if self.standing is Standing.INCOMPLETE and self._has_regained():
-            self._lost = None
+        if self.standing is Standing.INCOMPLETE and self._has_recovered_lost():
+            self._lost_position = None
             out += self._persist(self._replace_log()) + self._set_standing(
                 Standing.VOTING, "it has fetched what it lost"
             )
@@ -345,25 +358,26 @@
         return out
 
     def failed(self, now: float, why: str) -> list[Effect]:
-        """The disk refused: nothing that was under way may be spoken of. Reading goes on."""
+        """A write failed: effects that waited for it are dropped, and this process neither votes nor leads
+        until the log was rewritten. Reading goes on."""
         if self.standing is not Standing.NO_DISK:
-            self._was = self.standing
+            self._standing_before_failure = self.standing
         out = self._set_standing(Standing.NO_DISK, why)
-        self._waiting.clear()
+        self._held_back.clear()
         self._votes = {}
-        self._rewritten = inf
+        self._recovery_number = inf
         if self.leads:
-            self._supported_at = now
+            self._last_support_at = now
             self.leads, self.leader = False, ""
-            out += self._refuse_all("the leader's disk failed")
+            out += self._drop_pending_requests("the leader's disk failed")
         return out
 
     def rewrite(self) -> list[Effect]:
-        """Everything that is held, for a disk that failed: nothing of what it took before is trusted. One at
-        a time, and as short as it can be said: the disk may be full."""
-        if self.standing is not Standing.NO_DISK or self._rewritten < inf:
+        """Rewrites the whole log after a disk failure, since no earlier write can be trusted. One attempt at
+        a time, and compacted as far as possible, because the disk may be full."""
+        if self.standing is not Standing.NO_DISK or self._recovery_number < inf:
             return []
-        self._rewritten = self._stores + 1
+        self._recovery_number = self._persist_count + 1
         if self.state_machine.last > (self.snapshot.last if self.snapshot else 0):
             return self._compact(0, 0)
         return self._persist(self._replace_log())
@@ -371,5 +385,11 @@
     def _replace_log(self) -> ReplaceLog:
         meta = HardState(self.term, self.vote)
         return ReplaceLog(
-            self.id, meta, self.snapshot, self.first, self._before, tuple(self.entries), self._lost
+            self.id,
+            meta,
+            self.snapshot,
+            self.first,
+            self._term_before_first,
+            tuple(self.entries),
+            self._lost_position,
         )
--- a/sableford/consensus/replication.py
+++ b/sableford/consensus/replication.py
@@ -1,19 +1,19 @@
-"""Replication of the log by a leader and at its followers, and what is agreed on (Ongaro, Ousterhout 2014,
-sections 5.3 and 5.4).
+"""Log replication at the leader and its followers, and commitment (Ongaro, Ousterhout 2014, sections
+5.3 and 5.4).
 """
 
 from sableford.consensus.constants import (
-    AHEAD_ENTRIES,
-    AHEAD_MESSAGES,
     FETCH_INTERVAL,
     HEARTBEAT,
+    MAX_ENTRIES_IN_FLIGHT,
+    MAX_MESSAGES_IN_FLIGHT,
+    MAX_REMEMBERED_ROUNDS,
     MOVED,
     QUORUM_TIMEOUT,
-    ROUNDS,
     SNAPSHOT_KEEP_ENTRIES,
 )
 from sableford.consensus.effects import (
-    ACKS,
+    ACKNOWLEDGING_STANDINGS,
     AppendToLog,
     Committed,
     Effect,
@@ -34,43 +34,43 @@
 
 
 class Replication(RaftState):
-    """Heartbeats, entries, acknowledgements, commits."""
+    """Heartbeats, append requests, acknowledgements and commits."""
 
     def fresh(self, now: float, within: float) -> bool:
-        """Whether it leads, and a majority has answered what went out at most so many ms ago. Whoever wins an
-        election does so after the last answer that a leader of before could count."""
-        lately = [name for name, one in self._followers.items() if now - one.said_to <= within]
+        """Whether it leads, and a majority has acknowledged messages sent within the last `within` ms.
+        Whoever wins an election does so after the last response that an earlier leader could count."""
+        lately = [name for name, one in self._followers.items() if now - one.acked_sent_at <= within]
         return self.leads and self._majority([*lately, self.name])
 
     def _lead_tick(self, now: float) -> list[Effect]:
         near = [name for name, one in self._followers.items() if now - one.heard < QUORUM_TIMEOUT]
         if not self._majority([*near, self.name]):
-            # Cut off, it must not go on as if what it is offered could be agreed on.
+            # Without a majority nothing that is proposed to it could be committed.
             out: list[Effect] = [LogEvent("record_leads_no_more", {"term": self.term, "why": "no majority"})]
-            self._supported_at = now
+            self._last_support_at = now
             self.leads, self.leader = False, ""
-            self._due_at = self._election_deadline(now)
-            return out + self._refuse_all("no majority is heard")
-        if now < self._beat_at:
+            self._election_due_at = self._election_deadline(now)
+            return out + self._drop_pending_requests("no majority is heard")
+        if now < self._next_heartbeat_at:
             return []
-        self._beat_at = now + HEARTBEAT
+        self._next_heartbeat_at = now + HEARTBEAT
         return self._change_voters(now) + self._send_heartbeats(now)
 
     def _send_heartbeats(self, now: float) -> list[Effect]:
         self._round += 1
         self._round_commit = self.commit
-        self._round_at[self._round] = now
-        self._round_at.pop(self._round - ROUNDS, None)
+        self._round_sent_at[self._round] = now
+        self._round_sent_at.pop(self._round - MAX_REMEMBERED_ROUNDS, None)
         out: list[Effect] = []
         for name, one in self._followers.items():
             out += self._send_to_follower(now, name, one)
-        return out + self._invite_learners() + self._advance_commit()
+        return out + self._send_learner_heartbeats() + self._advance_commit()
 
     def _send_to_follower(self, now: float, name: str, one: Follower) -> list[Effect]:
         silent = now - one.heard >= self._transport.resend
         if silent and one.next <= self.last:
-            one.next = one.match + 1  # what was sent ahead is lost
-        # One that is silent is not sent more until it answers: it would only fill the way to it.
+            one.next = one.match + 1  # what was sent ahead counts as lost
+        # A silent follower gets no entries until it responds: they would only fill the send queue.
         return (not silent and self._send_entries(name, one)) or [
             Send(name, self._append_request(name, one.next - 1, ()))
         ]
@@ -81,16 +81,16 @@
         known = self.commit, self._round, self.durable, entries, self.first
         return AppendRequest(self.id, self.term, *before, *known, self._voters.get(name, ""))
 
-    def _send_entries(self, name: str, one: Follower, most: int = AHEAD_MESSAGES) -> list[Effect]:
-        """Entries it does not have, a few words ahead of its answers."""
+    def _send_entries(self, name: str, one: Follower, most: int = MAX_MESSAGES_IN_FLIGHT) -> list[Effect]:
+        """Entries that the follower lacks, sent ahead of its responses up to the window."""
         out: list[Effect] = []
         if one.next < self.first:  # it has to fetch the snapshot
             return []
-        if one.next > min(self.last, one.match + AHEAD_ENTRIES):
+        if one.next > min(self.last, one.match + MAX_ENTRIES_IN_FLIGHT):
             return []
         sent = self.entries[max(0, one.match + 1 - self.first) : one.next - self.first]
         ahead = sum(map(entry_size, sent))
-        while one.next <= min(self.last, one.match + AHEAD_ENTRIES) and len(out) < most:
+        while one.next <= min(self.last, one.match + MAX_ENTRIES_IN_FLIGHT) and len(out) < most:
             size, end = entry_size(self.at(one.next)), one.next + 1
             while end <= self.last and size + entry_size(self.at(end)) <= self._transport.batch_bytes:
                 size += entry_size(self.at(end))
@@ -107,67 +107,70 @@
             return self._become_follower(now, message.term, "")
         if not self.leads or message.term != self.term or sender not in self._followers:
             return []
-        if not self._is_voter(sender, message.id):  # another folder than the one that votes
-            self._note_other_disk(now, sender, message.id)
+        if not self._is_voter(sender, message.id):  # a process of that name, but not the folder that votes
+            self._note_replaced_folder(now, sender, message.id)
             return []
         one = self._followers[sender]
         one.heard, one.round = now, max(one.round, message.round)
-        one.said_to = max(one.said_to, self._round_at.get(message.round, -1e12))
+        one.acked_sent_at = max(one.acked_sent_at, self._round_sent_at.get(message.round, -1e12))
         self._note_progress(sender, message.id, message.term, message.last if message.yes else 0)
         if message.yes:
             one.match = max(one.match, min(message.last, self.last))
             one.next = max(one.next, one.match + 1)
             return self._advance_commit() + self._send_entries(sender, one)
         one.next = max(one.match + 1, min(message.last + 1, one.next))
-        if now - one.back_at < HEARTBEAT / 2.0:  # each word in vain has its answer, and one more is enough
+        if (
+            now - one.resent_at < HEARTBEAT / 2.0
+        ):  # each rejected message is answered: resend once for all of them
             return []
-        one.back_at = now
-        if message.last < one.match:  # it held more: let it see for itself that its folder was set back
-            return [Send(sender, self._known_past_of(sender))]
-        if one.next < self.first and now - one.fetched_at > FETCH_INTERVAL:
-            # The version before asks for a snapshot only where it is far behind, or has been sent the start.
-            return self._serve_snapshot(now, sender, FetchRequest(message.id, message.last))
+        one.resent_at = now
+        if (
+            message.last < one.match
+        ):  # it has acknowledged more: the answer shows it that its folder was set back
+            return [Send(sender, self._startup_answer_for(sender))]
+        if one.next < self.first and now - one.last_fetch_at > FETCH_INTERVAL:
+            # The previous version requests a snapshot only if it is far behind or has received its start.
+            return self._send_snapshot(now, sender, FetchRequest(message.id, message.last))
         return self._send_entries(sender, one, 1)
 
     def _advance_commit(self) -> list[Effect]:
-        """What a majority keeps is agreed on, where the last of it is of this term."""
+        """Commits what is durable at a majority, if its last entry is of this term."""
         out: list[Effect] = []
         kept = {name: one.match for name, one in self._followers.items()}
-        kept[self.name] = self.durable if self.standing in ACKS else 0
+        kept[self.name] = self.durable if self.standing in ACKNOWLEDGING_STANDINGS else 0
         ranked = sorted((kept.get(name, 0) for name in self._voters), reverse=True)
         agreed = ranked[len(ranked) // 2] if ranked else 0
         if agreed > self.commit and self.term_at(agreed) == self.term:
             out += self._apply_committed(agreed)
         return out + self._answer_reads()
 
-    # A follower's part
+    # Follower
 
     def _handle_append_request(self, now: float, sender: str, message: AppendRequest) -> list[Effect]:
         if message.term < self.term:
             return [Send(sender, AppendResponse(self.id, self.term, False, self.last, message.round))]
         voter = message.voter == self.id
         if not voter and (message.first or not self._is_voter(self.name, self.id)):
-            return self._handle_invitation(
-                now, sender
-            )  # it fetches; a leader counts nobody who is not a voter
+            # The leader does not count it as a voter: it fetches.
+            return self._handle_learner_heartbeat(now, sender)
         out = (
             self._become_follower(now, message.term, sender)
             if (message.term, sender) != (self.term, self.leader)
             else []
         )
-        self._due_at, self._led_at = self._election_deadline(now), now
-        self._supported_at = now
+        self._election_due_at, self._leader_heard_at = self._election_deadline(now), now
+        self._last_support_at = now
         self._note_progress(sender, message.id, message.term, message.kept)
         joins = voter and self.standing in (Standing.REPLACED, Standing.LEARNER)
-        if self.standing not in ACKS and not joins:
-            return out  # what it held and no disk will keep would pass for kept once the disk is back
+        if self.standing not in ACKNOWLEDGING_STANDINGS and not joins:
+            return out  # entries that only memory holds would count as durable once the disk is back
         if message.prev > self.last or (
             message.prev >= self.first and self.term_at(message.prev) != message.prev_term
         ):
             hint = min(message.prev - 1, self.last)
-            # Whether the leader does not have what comes next; the version before does not say.
+            # Whether the leader's log lacks the next entry; the previous version does not send `first`.
             first = message.first or message.commit + 1 - SNAPSHOT_KEEP_ENTRIES
-            if first > hint + 1 and (now >= self._pull_at or self._source != sender):
+            if first > hint + 1 and (now >= self._next_fetch_at or self._fetch_source != sender):
                 out += self._fetch(now, sender)
             return [
                 *out,
@@ -197,7 +200,7 @@
             out += self._apply_committed(commit)
         return out
 
-    # What is agreed on
+    # Commitment
 
     def _apply_committed(self, commit: int) -> list[Effect]:
         out: list[Effect] = []
@@ -214,7 +217,7 @@
                 break
             self._applied_bytes += entry_size(entry)
             out.append(Committed(index, entry, held))
-            if self.leads and self._taken.pop((entry.author, entry.number), None) is not None:
+            if self.leads and self._uncommitted_proposals.pop((entry.author, entry.number), None) is not None:
                 name, _, incarnation = entry.author.rpartition("#")
                 out += self._respond(
                     name, ProposeResponse(int(incarnation), entry.number, held, index, "" if held else MOVED)
--- a/sableford/consensus/snapshots.py
+++ b/sableford/consensus/snapshots.py
@@ -1,41 +1,41 @@
-"""Snapshots, and how a process without all entries fetches them (Ongaro's dissertation, chapter 5)."""
+"""Log compaction, and catching up by fetching entries and snapshots (Ongaro's dissertation, chapter 5)."""
 
 import msgspec
 
 from sableford.consensus.constants import (
     FETCH_INTERVAL,
     FETCH_RETRY,
-    FETCH_TRIES,
-    OLD_SNAPSHOT_WINDOW,
+    LEGACY_SNAPSHOT_WINDOW,
+    MAX_CACHED_SNAPSHOTS,
+    MAX_UNANSWERED_FETCHES,
+    SNAPSHOT_CACHE_MS,
     SNAPSHOT_ENTRIES,
     SNAPSHOT_KEEP_BYTES,
     SNAPSHOT_KEEP_ENTRIES,
     SNAPSHOT_LOG_BYTES,
-    SNAPSHOT_LOG_IMAGES,
-    SNAPSHOT_SERVED,
-    SNAPSHOTS_SERVED,
+    SNAPSHOT_LOG_RATIO,
 )
 from sableford.consensus.effects import AppendToLog, Effect, LogEvent, Send, SnapshotInstalled, TruncateLog
 from sableford.consensus.messages import Entry, FetchRequest, FetchResponse, Kind, SnapshotChunk
-from sableford.consensus.raft_state import FetchedSnapshot, RaftState, entry_size, learner
+from sableford.consensus.raft_state import RaftState, SnapshotTransfer, entry_size, learner
 from sableford.consensus.state_machine import Snapshot
 
 
 class Snapshots(RaftState):
-    """Snapshots, learners."""
+    """Makes, serves and fetches snapshots; learners fetch committed entries."""
 
     def _compaction_due(self) -> bool:
-        """Whether what was applied since the last snapshot is long enough for the next."""
+        """Whether enough was applied since the last snapshot to make the next."""
         if self.state_machine.last - (self.snapshot.last if self.snapshot else 0) >= SNAPSHOT_ENTRIES:
             return True
         if self._applied_bytes < SNAPSHOT_LOG_BYTES:
             return False
-        return self._applied_bytes >= SNAPSHOT_LOG_IMAGES * self.state_machine.size()
+        return self._applied_bytes >= SNAPSHOT_LOG_RATIO * self.state_machine.size()
 
     def _compact(
         self, keep_entries: int = SNAPSHOT_KEEP_ENTRIES, keep_bytes: int = SNAPSHOT_KEEP_BYTES
     ) -> list[Effect]:
-        """A snapshot in place of all but the last entries before it."""
+        """Replaces the log with a snapshot and the last entries before it."""
         voters = self._voters_at(self.state_machine.last)
         snapshot = self.state_machine.snapshot(voters)
         self.snapshot, self._applied_bytes = snapshot, 0
@@ -44,72 +44,76 @@
         most = max(keep_bytes, self.state_machine.size()) if keep_bytes else 0
         while keep > least and (size := size + entry_size(self.at(keep - 1))) <= most:
             keep -= 1
-        self._before = self.term_at(keep - 1)
+        self._term_before_first = self.term_at(keep - 1)
         del self.entries[: keep - self.first]
         self.first = keep
-        # The voters before the first kept entry are the snapshot's: those kept say so again.
-        self._based = voters
+        # Entries kept before the snapshot that change voters lead to the snapshot's voters again.
+        self._base_voters = voters
         return self._persist(self._replace_log())
 
     def _adopt_snapshot(self, snapshot: Snapshot) -> None:
-        """A snapshot read or fetched; entries after it stay where it is of the same past."""
+        """Restores a snapshot that was read or fetched; entries after it stay if the log agrees with it."""
         self.snapshot, self._applied_bytes = snapshot, 0
         self.state_machine.restore(snapshot)
         if self.term_at(snapshot.last) != snapshot.term:
-            self.entries, self.first, self._before = [], snapshot.last + 1, snapshot.term
-        self._based = dict(snapshot.voters)
+            self.entries, self.first, self._term_before_first = [], snapshot.last + 1, snapshot.term
+        self._base_voters = dict(snapshot.voters)
 
     # Fetching
 
     def _fetch_if_due(self, now: float) -> list[Effect]:
-        """The next fetch, where it is time for one."""
+        """Sends the next fetch if it is due."""
         names = self._peers()
-        if now < self._pull_at or not names:
+        if now < self._next_fetch_at or not names:
             return []
         under_way = self._fetching
-        if under_way is not None and under_way.source in names and self._unanswered < FETCH_TRIES:
-            return self._fetch(now, under_way.source)  # a snapshot under way is one process's
-        # By chance, so that none is asked by all.
+        if (
+            under_way is not None
+            and under_way.source in names
+            and self._unanswered_fetches < MAX_UNANSWERED_FETCHES
+        ):
+            return self._fetch(now, under_way.source)  # a snapshot is fetched from one process
+        # At random, so that not all ask the same process.
         return self._fetch(
-            now, self._random.choice([name for name in names if name != self._source] or names)
+            now, self._random.choice([name for name in names if name != self._fetch_source] or names)
         )
 
     def _fetch(self, now: float, source: str) -> list[Effect]:
-        """What comes after all that is in force here, or the next pieces of a snapshot from that source."""
-        self._unanswered = self._unanswered + 1 if source == self._source else 0
-        self._source, self._asked_after = source, self.commit
+        """Requests the entries after the commit index, or the next chunks of a snapshot from that source."""
+        self._unanswered_fetches = self._unanswered_fetches + 1 if source == self._fetch_source else 0
+        self._fetch_source, self._requested_after = source, self.commit
         self._early.clear()
         under_way = self._fetching
         if under_way is None or under_way.source != source:
-            self._pull_at = now + FETCH_INTERVAL * self._random.uniform(0.5, 1.5)
+            self._next_fetch_at = now + FETCH_INTERVAL * self._random.uniform(0.5, 1.5)
             return [Send(source, FetchRequest(self.id, self.commit))]
-        self._pull_at = now + self._transport.fetch_retry
+        self._next_fetch_at = now + self._transport.fetch_retry
         under_way.asked_at = len(under_way.data)
         return [Send(source, FetchRequest(self.id, self.commit, under_way.last, under_way.asked_at))]
 
-    def _handle_invitation(self, now: float, leader: str) -> list[Effect]:
-        """A leader that this process does not vote for wants it up to date: perhaps it is to vote."""
-        self.leader, self._led_at, self._due_at = leader, now, self._election_deadline(now)
-        self._invited_at = now
-        if self._fetching is not None or now < self._invited_fetch_at + FETCH_RETRY / 2.0:
+    def _handle_learner_heartbeat(self, now: float, leader: str) -> list[Effect]:
+        """Fetches on the heartbeat of a leader that does not count this process as a voter, but may soon."""
+        self.leader, self._leader_heard_at, self._election_due_at = leader, now, self._election_deadline(now)
+        self._learner_heartbeat_at = now
+        if self._fetching is not None or now < self._prompted_fetch_at + FETCH_RETRY / 2.0:
             return []
-        self._invited_fetch_at = now
+        self._prompted_fetch_at = now
         return self._fetch(now, leader)
 
     def newest(self, now: float, index: int) -> None:
-        """Somebody has come further: a learner fetches at once."""
+        """Another process has committed up to `index`: a learner that is behind fetches soon."""
         if index > self.commit and not self._is_voter(self.name, self.id):
-            self._pull_at = min(self._pull_at, now + FETCH_RETRY * self._random.random())
+            self._next_fetch_at = min(self._next_fetch_at, now + FETCH_RETRY * self._random.random())
 
-    # Serving those who fetch
+    # Serving fetches
 
     def _handle_fetch_request(self, now: float, sender: str, message: FetchRequest) -> list[Effect]:
         if self.leads:
             self._note_fetch(now, sender, message)
         if (follower := self._followers.get(sender)) is not None:
-            follower.fetched_at = now
+            follower.last_fetch_at = now
         if message.have < self.first - 1 and self.snapshot is not None:
-            return self._serve_snapshot(now, sender, message)
+            return self._send_snapshot(now, sender, message)
         batches = self._batches(max(message.have + 1, self.first))
         through = batches[-1][0] + len(batches[-1][1]) - 1
         return [
@@ -124,8 +128,8 @@
         self._learners[sender] = known.fetched(now, message.have, self._round_commit, self.commit)
 
     def _batches(self, first: int) -> list[tuple[int, tuple[Entry, ...]]]:
-        """Agreed entries from `first` on, as many as go at once: the first index and entries of each
-        message, at least one."""
+        """Committed entries from `first` on, as many as one response holds: the first index and entries of
+        each message, at least one message."""
         out: list[tuple[int, tuple[Entry, ...]]] = []
         while len(out) < self._transport.pieces and (first <= self.commit or not out):
             end, size = first, 0
@@ -138,10 +142,10 @@
             first = end
         return out
 
-    def _serve_snapshot(self, now: float, sender: str, message: FetchRequest) -> list[Effect]:
-        """The next pieces: of the snapshot that was begun, while it is held, else of the newest. Whoever
-        fetches one is not made to start over by each new one."""
-        held, start = self._served_snapshots, message.at
+    def _send_snapshot(self, now: float, sender: str, message: FetchRequest) -> list[Effect]:
+        """The next chunks of the snapshot whose transfer has begun, while it is cached, else of the newest. A
+        new snapshot thus does not make a transfer start over."""
+        held, start = self._snapshot_cache, message.at
         last = message.snap
         if last not in held:
             last, start = self.snapshot.last, 0
@@ -149,7 +153,7 @@
             held[last] = msgspec.msgpack.encode(self.snapshot), now
         blob, _ = held.pop(last)
         held[last] = blob, now
-        self._served_snapshots = dict(list(held.items())[-SNAPSHOTS_SERVED:])
+        self._snapshot_cache = dict(list(held.items())[-MAX_CACHED_SNAPSHOTS:])
         size = self._transport.piece_bytes
         through = min(len(blob), start + size * self._transport.pieces)
         return [
@@ -157,47 +161,47 @@
             for at in range(start, through, size)
         ]
 
-    def _forget_served(self, now: float) -> None:
-        self._served_snapshots = {
+    def _expire_snapshot_cache(self, now: float) -> None:
+        self._snapshot_cache = {
             last: (data, used)
-            for last, (data, used) in self._served_snapshots.items()
-            if now - used <= SNAPSHOT_SERVED
+            for last, (data, used) in self._snapshot_cache.items()
+            if now - used <= SNAPSHOT_CACHE_MS
         }
 
-    # What was fetched
+    # Fetched data
 
     def _handle_fetch_response(self, now: float, sender: str, message: FetchResponse) -> list[Effect]:
-        """Agreed on, so it is taken as it stands. A voter's log is its leader's business; but one without a
-        leader, or that its leader does not name, may have been replaced, and learns it so."""
+        """Takes committed entries as they are. A voter normally gets entries from its leader alone; without
+        a leader, or if the leader does not count it, it may have been replaced, and learns so here."""
         votes = self._is_voter(self.name, self.id)
-        invited = now - self._invited_at <= FETCH_INTERVAL
+        invited = now - self._learner_heartbeat_at <= FETCH_INTERVAL
         if self.leads or (votes and not invited and not self._leaderless(now)):
             return []
-        if message.first > self.commit + 1:  # another of the same answer is late, or lost
+        if message.first > self.commit + 1:  # an earlier message of the response is late or lost
             if len(self._early) < self._transport.pieces:
                 self._early[message.first] = message
-            self._pull_at = min(self._pull_at, now + FETCH_RETRY)
+            self._next_fetch_at = min(self._next_fetch_at, now + FETCH_RETRY)
             return []
-        self.leader, self._unanswered = self.leader if votes else message.leader, 0
+        self.leader, self._unanswered_fetches = self.leader if votes else message.leader, 0
         out, follows, agreed = [], message, self.commit
         while follows is not None:
-            out += self._take_agreed(follows)
+            out += self._append_fetched(follows)
             follows = self._early.pop(self.commit + 1, None)
         if self.commit > agreed:
-            self._fetching = None  # entries will do
+            self._fetching = None  # a snapshot is no longer needed
         if message.commit <= self.commit:
             return out
-        if self.commit >= message.through > 0 and self.commit > self._asked_after:
+        if self.commit >= message.through > 0 and self.commit > self._requested_after:
             return out + self._fetch(now, sender)
-        self._pull_at = min(self._pull_at, now + (FETCH_RETRY if message.through else 0.0))
+        self._next_fetch_at = min(self._next_fetch_at, now + (FETCH_RETRY if message.through else 0.0))
         return out
 
-    def _take_agreed(self, message: FetchResponse) -> list[Effect]:
+    def _append_fetched(self, message: FetchResponse) -> list[Effect]:
         writes: list = []
         for index, entry in enumerate(message.entries, message.first):
             if index <= self.commit or self.term_at(index) == entry.term:
                 continue
-            if index <= self.last:  # from a leader of before, and never agreed on
+            if index <= self.last:  # from an earlier leader, never committed
                 del self.entries[index - self.first :]
                 writes.append(TruncateLog(index - 1))
                 self.durable = min(self.durable, index - 1)
@@ -210,25 +214,27 @@
         return out + self._apply_committed(min(told, message.commit)) if told > self.commit else out
 
     def _handle_snapshot_chunk(self, now: float, sender: str, message: SnapshotChunk) -> list[Effect]:
-        if message.last <= self.commit or not 0 <= message.at < message.of or sender != self._source:
+        if message.last <= self.commit or not 0 <= message.at < message.of or sender != self._fetch_source:
             return []
-        self._unanswered = 0
+        self._unanswered_fetches = 0
         one = self._fetching
         if one is None or (one.source, one.last, one.size) != (sender, message.last, message.of):
-            if message.at:  # late, of one that was given up
+            if message.at:  # a late chunk of an abandoned transfer
                 return []
-            one = self._fetching = FetchedSnapshot(sender, message.last, message.of)
+            one = self._fetching = SnapshotTransfer(sender, message.last, message.of)
         one.take(message.at, message.data)
         if len(one.data) >= one.size:
             return self._install_snapshot(now, one)
-        self._pull_at = now + self._transport.fetch_retry
+        self._next_fetch_at = now + self._transport.fetch_retry
         over = (
-            len(one.data) >= message.through if message.through else len(one.data) % OLD_SNAPSHOT_WINDOW == 0
+            len(one.data) >= message.through
+            if message.through
+            else len(one.data) % LEGACY_SNAPSHOT_WINDOW == 0
         )
         return self._fetch(now, sender) if over and len(one.data) > one.asked_at else []
 
-    def _install_snapshot(self, now: float, fetched: FetchedSnapshot) -> list[Effect]:
-        """A whole snapshot in place of what it covers; it counts as held once it is on disk."""
+    def _install_snapshot(self, now: float, fetched: SnapshotTransfer) -> list[Effect]:
+        """Installs a complete snapshot; it counts as durable once it is on disk."""
         self._fetching = None
         try:
             snapshot = msgspec.msgpack.decode(bytes(fetched.data), type=Snapshot)
@@ -236,7 +242,7 @@
             return [LogEvent("record_snapshot_spoilt", {"from": fetched.source})]
         agreed = self.commit
         self._adopt_snapshot(snapshot)
-        if not self.entries:  # nothing of what was on disk is part of it any more
+        if not self.entries:  # nothing on disk continues the snapshot
             self.durable = min(self.durable, agreed)
         self.commit = self.state_machine.last
         self._voters = self._latest_voters()
--- a/sableford/consensus/state_machine.py
+++ b/sableford/consensus/state_machine.py
@@ -1,7 +1,7 @@
-"""What the entries add up to: keys with values, and whose proposals have been taken.
+"""The replicated state machine: a key-value store that applies each proposal at most once.
 
-It owns the state after each entry. An entry of a kind that this version does not know stops it: whatever
-came after would stand on something else than at the others.
+An entry of a kind that this version does not know stops it: the state after that entry would differ from that
+of other processes.
 """
 
 from typing import NamedTuple
@@ -10,11 +10,13 @@
 
 from sableford.consensus.messages import Entry, Kind, Put
 
-AUTHORS = 4096  # whose last proposals are remembered, the oldest going first: far more than schedulers
-WINDOW = 512  # numbers of one author remembered: twice what it may have under way at once
-PAIR_BYTES = 12  # of one number that is remembered, in a snapshot
-TAKEN_PAIRS = 16_384  # numbers of all authors remembered, the longest idle author's going first: some 200 kB
-MOST_VALUE = 32_768  # bytes of one value: one settings file; half of what one datagram's word holds
+# Authors whose proposals are remembered, far more than processes exist; the longest idle is dropped first.
+MAX_AUTHORS = 4096
+NUMBERS_PER_AUTHOR = 512  # proposal numbers remembered per author: twice what it may have in flight
+BYTES_PER_NUMBER = 12  # size of one remembered number in a snapshot
+# Numbers remembered of all authors, some 200 kB; those of the longest idle author are dropped first.
+MAX_REMEMBERED_NUMBERS = 16_384
+MAX_VALUE_BYTES = 32_768  # bytes of one value: a settings file; half of what a message in one datagram holds
 
 
 class Value(NamedTuple):
@@ -23,7 +25,7 @@
 
 
 class Snapshot(msgspec.Struct):
-    """A snapshot: all that entries up to `last` add up to."""
+    """The state after all entries up to `last`."""
 
     last: int
     term: int
@@ -38,11 +40,11 @@
         self.values: dict[str, Value] = {}
         self.taken: dict[
             str, dict[int, tuple[int, bool]]
-        ] = {}  # by author and number: index, whether it held
-        self.stopped = ""  # why it goes no further
+        ] = {}  # by author and number: index, and whether it had an effect
+        self.stopped = ""  # why it applies no more entries
 
     def apply(self, index: int, entry: Entry) -> bool:
-        """One more entry; whether it had its effect. A proposal taken already has none again.
+        """Applies the next entry and returns whether it had an effect. A repeated proposal has none.
 
         >>> machine, put = StateMachine(), msgspec.msgpack.encode(Put("a", b"1"))
         >>> [machine.apply(at, Entry(1, Kind.PUT, "x", 1, put)) for at in (1, 2)]
@@ -62,35 +64,40 @@
         if entry.author:
             taken = self.taken.pop(entry.author, {})
             taken[entry.number] = index, held
-            if len(taken) > WINDOW:
-                least = max(taken) - WINDOW
+            if len(taken) > NUMBERS_PER_AUTHOR:
+                least = max(taken) - NUMBERS_PER_AUTHOR
                 taken = {number: what for number, what in taken.items() if number > least}
             self.taken[entry.author] = taken
-            self._forget()
+            self._drop_idle_authors()
         return held
 
-    def _forget(self) -> None:
-        """Authors idle for the longest, past the bounds; the one that was just taken from stays."""
-        pairs = sum(map(len, self.taken.values())) if len(self.taken) > TAKEN_PAIRS // WINDOW else 0
-        while len(self.taken) > 1 and (len(self.taken) > AUTHORS or pairs > TAKEN_PAIRS):
+    def _drop_idle_authors(self) -> None:
+        """Drops the longest idle authors beyond the limits; the author just applied stays."""
+        pairs = (
+            sum(map(len, self.taken.values()))
+            if len(self.taken) > MAX_REMEMBERED_NUMBERS // NUMBERS_PER_AUTHOR
+            else 0
+        )
+        while len(self.taken) > 1 and (len(self.taken) > MAX_AUTHORS or pairs > MAX_REMEMBERED_NUMBERS):
             pairs -= len(self.taken.pop(next(iter(self.taken))))
 
     def size(self) -> int:
-        """About how many bytes its snapshot takes."""
-        authors = sum(len(author) + PAIR_BYTES * len(taken) for author, taken in self.taken.items())
+        """The approximate size of a snapshot."""
+        authors = sum(len(author) + BYTES_PER_NUMBER * len(taken) for author, taken in self.taken.items())
         return authors + sum(len(key) + len(value.data) for key, value in self.values.items())
 
     def known(self, author: str, number: int) -> tuple[int, bool] | None:
-        """Where a proposal stands and whether it held; one before all that is remembered counts as taken."""
+        """The index of an applied proposal and whether it had an effect. One older than all that is
+        remembered counts as applied, at index 0."""
         taken = self.taken.get(author)
         if not taken:
             return None
-        return taken.get(number, (0, False) if number <= max(taken) - WINDOW else None)
+        return taken.get(number, (0, False) if number <= max(taken) - NUMBERS_PER_AUTHOR else None)
 
     def _put(self, index: int, data: bytes) -> bool:
         try:
             put = msgspec.msgpack.decode(data, type=Put)
-        except msgspec.MsgspecError:  # the same at everyone
+        except msgspec.MsgspecError:  # fails in the same way on every process
             return False
         now = self.values.get(put.key)
         if 0 <= put.after != (now.index if now else 0):
@@ -102,7 +109,7 @@
         return True
 
     def snapshot(self, voters: dict[str, str]) -> Snapshot:
-        """As it stands; the values themselves are shared, since none is ever changed."""
+        """A snapshot of the current state; values are shared, since they are immutable."""
         return Snapshot(
             self.last, self.term, dict(voters), dict(self.values), {a: dict(t) for a, t in self.taken.items()}
         )
--- a/sableford/consensus/voter_changes.py
+++ b/sableford/consensus/voter_changes.py
@@ -1,30 +1,30 @@
-"""Changes of the voters, one at a time (Ongaro's dissertation, chapter 4).
+"""Membership changes, one voter at a time (Ongaro's dissertation, chapter 4).
 
-Which of two changes comes first is chosen so that no step bears fewer losses than the one before it:
+When one voter replaces another, the order is chosen so that no step tolerates fewer failures than before:
 
-    the voter to go     first        why
-    answers             add          3 to 4: all live, 3 of 4 agree, 1 loss is borne; removing first left
-                                     2 of 2, and bore none
-    is silent           remove       3 to 2, then 3: the newcomer's loss in between stops nothing; adding
-                                     first needs 3 of 4 with one gone, so that each of three, the newcomer
-                                     too, must live
-    lost its folder     remove       as silent; its name can stand for one folder only
+    voter to remove     first        why
+    responds            add          3 to 4 voters: 3 of 4 are a majority, 1 failure is tolerated; removing
+                                     first would leave 2 of 2, which tolerate none
+    is silent           remove       3 to 2, then 3 voters: a failure of the newcomer in between blocks
+                                     nothing; adding first would need 3 of 4 with one gone, so all three
+                                     others, the newcomer included, would have to run
+    lost its folder     remove       as silent; a name can stand for one folder only
 
-A newcomer counts once it holds all that was agreed on when the last heartbeats went out, or when its last
-round of fetches began, if that took no longer than an election. A leader changes voters only after an entry
-of its own term was agreed on (Ongaro, raft-dev, 2015), and one change at a time.
+A newcomer is caught up once it holds all that was committed when the last heartbeats were sent, or when its
+last round of fetches began, if that took no longer than an election timeout. A leader changes voters only
+after an entry of its own term was committed (Ongaro, raft-dev, 2015), and one change at a time.
 """
 
 import msgspec
 
-from sableford.consensus.constants import FETCH_INTERVAL, SILENT
+from sableford.consensus.constants import FETCH_INTERVAL, SILENCE_TIMEOUT
 from sableford.consensus.effects import AppendToLog, Effect, LogEvent, Send
 from sableford.consensus.messages import Entry, Kind
 from sableford.consensus.raft_state import Follower, RaftState, learner
 
 
 class VoterChanges(RaftState):
-    """Who votes, and the leader's work towards those who are wanted."""
+    """The voters, and the leader's changes towards those that are wanted."""
 
     def _voters_entry(self, voters: dict[str, str]) -> Entry:
         return Entry(self.term, Kind.VOTERS, data=msgspec.msgpack.encode(voters))
@@ -43,8 +43,8 @@
             for name in sorted(self._followers.keys() - self._voters.keys()):
                 del self._followers[name]
 
-    def _note_other_disk(self, now: float, name: str, id: str) -> None:
-        """A process of that name has another folder than the one that votes."""
+    def _note_replaced_folder(self, now: float, name: str, id: str) -> None:
+        """A process of that name has another folder than the one that votes: it is a learner."""
         known = self._learners.get(name)
         if known is None or known.id != id:
             known = learner(id, now, self.commit)
@@ -52,10 +52,10 @@
 
     def _is_silent(self, now: float, name: str) -> bool:
         one = self._followers.get(name)
-        return one is not None and now - one.heard >= SILENT
+        return one is not None and now - one.heard >= SILENCE_TIMEOUT
 
     def _wanted_learners(self, now: float, within: float) -> dict[str, str]:
-        """Ids of those who are to vote, do not yet, and were heard so lately."""
+        """Ids of learners that are to become voters and were heard within that time."""
         return {
             name: learner.id
             for name, learner in sorted(self._learners.items())
@@ -63,7 +63,7 @@
         }
 
     def _change_voters(self, now: float) -> list[Effect]:
-        """The next change towards `wanted`, where one is due and may be made; the table is at the top."""
+        """Makes the next change towards `wanted` if one is possible now, in the order given at the top."""
         if self.term_at(self.commit) != self.term or self.stable_voters() is None:
             return []
         size = len(self._voters)
@@ -81,17 +81,17 @@
             return self._remove_voter(past[0])
         unsure = [name for name in past if self._followers[name].round <= self._outgoing[name]]
         if not all(self._is_silent(now, name) for name in unsure):
-            return []  # it is not known yet whether they answer
+            return []  # not known yet whether they respond
         for name, id in newcomers.items():
             return self._add_voter(name, id)
-        # Without a newcomer only where those who stay bear as many losses as those who are wanted.
+        # Without a newcomer only if the remaining voters tolerate as many failures as the wanted ones.
         filled = self._voters.keys() >= set(self.wanted)
         if past and filled and (size - 2) // 2 >= (len(self.wanted) - 1) // 2:
             return self._remove_voter(past[0])
         return []
 
     def _outgoing_voters(self, now: float) -> list[str]:
-        """Voters that are to go, the silent first; and the round in which each was first seen to be one."""
+        """Voters to remove, silent ones first; and updates the round in which each was first seen so."""
         past = [name for name in sorted(self._voters) if name not in self.wanted and name != self.name]
         self._outgoing = {name: self._outgoing.get(name, self._round) for name in past}
         return sorted(past, key=lambda name: not self._is_silent(now, name))
@@ -105,7 +105,7 @@
         said = LogEvent("record_voter", {"voter": name, "id": self._voters[name], "in": False})
         return [said, *self._append_own(self._voters_entry(rest))]
 
-    def _invite_learners(self) -> list[Effect]:
-        """Heartbeats to those who are to vote and do not yet: they fetch from the leader."""
+    def _send_learner_heartbeats(self) -> list[Effect]:
+        """Heartbeats to future voters, which makes them fetch from the leader."""
         learners = [name for name in self.wanted if name not in self._voters and name != self.name]
         return [Send(name, self._append_request(name, self.last, ())) for name in learners]
--- a/sableford/simulation/consensus/explorer.py
+++ b/sableford/simulation/consensus/explorer.py
@@ -100,7 +100,7 @@
         for name in NAMES:
             self.cores[name] = self._core(name)
         for name in NAMES:
-            self._ask_about_past(name)
+            self._send_startup_questions(name)
 
     def _core(self, name: str) -> RaftNode:
         meta, entries = self.disks[name]
@@ -110,7 +110,7 @@
         core._random = _Still()
         return core
 
-    def _ask_about_past(self, name: str) -> None:
+    def _send_startup_questions(self, name: str) -> None:
         self.now += FAR
         self.do(name, self.cores[name].tick(self.now))
 
@@ -126,11 +126,19 @@
         """What two states are alike in where they can only go on alike."""
         cores = tuple(
             (
-                *(core.term, core.vote, core.leads, core.commit, core.durable, core.standing, core._pre),
+                *(
+                    core.term,
+                    core.vote,
+                    core.leads,
+                    core.commit,
+                    core.durable,
+                    core.standing,
+                    core._in_pre_vote,
+                ),
                 tuple(core.entries),
                 tuple(sorted(core._votes.items())),
                 tuple((one.next, one.match) for one in core._followers.values()) if core.leads else (),
-                tuple(number - core._stores for number, _ in core._waiting),
+                tuple(number - core._persist_count for number, _ in core._held_back),
             )
             for core in self.cores.values()
         )
@@ -228,7 +236,7 @@
         self.used = self.used._replace(stands=self.used.stands + 1)
         self.now += FAR
         core = self.cores[name]
-        core._last_tick, core._due_at = self.now, self.now
+        core._last_tick, core._election_due_at = self.now, self.now
         self.do(name, core.tick(self.now))
 
     def propose(self, name: str) -> None:
@@ -240,7 +248,7 @@
         self.used = self.used._replace(crashes="".join(sorted(self.used.crashes + name)))
         self.queues[name] = ()
         self.cores[name] = self._core(name)
-        self._ask_about_past(name)
+        self._send_startup_questions(name)
 
 
 def _clone(core: RaftNode) -> RaftNode:
--- a/tests/record.py
+++ b/tests/record.py
@@ -209,7 +209,7 @@
         again = LogFiles(RealDisk(Path(place, "fleet")), "a").open()
         assert (again.held.id, again.held.vote, len(again.held.entries)) == (found.held.id, "a", 1)
         whole = ReplaceLog("x", HardState(2, ""), None, 1, 0, ())
-        store._broken = True
+        store._has_failed = True
         try:
             store.keep([HardState(2, "")])
         except OSError as problem:
@@ -217,4 +217,4 @@
         else:
             raise AssertionError("a disk that failed is trusted")
         store.keep([whole])  # everything anew is what makes it good again
-        assert not store._broken
+        assert not store._has_failed
--- a/tests/record_disks.py
+++ b/tests/record_disks.py
@@ -37,7 +37,7 @@
     """Of two writes under way the first failed and the second did not: the voter acknowledged entries that
     its disk lacked."""
     core = RaftNode("b", 1, ["a", "b", "c"], StoredState("folder of b", 1), 0.0, 1)
-    core._based = core._voters = dict.fromkeys("abc", "")
+    core._base_voters = core._voters = dict.fromkeys("abc", "")
     core.standing = Standing.VOTING
     entries = [Entry(1, Kind.PUT, "a#1", at, put("k", b"%d" % at)) for at in (1, 2, 3)]
     told = []
@@ -153,7 +153,7 @@
     held = file.opened()
     assert [one.term for one in held.entries] == [2, 2, 2, 5] and held.lost == (2, 6)
     core = RaftNode("a", 1, ["a", "b", "c"], StoredState("id", 2, first=40, entries=tuple(entries)), 0.0, 1)
-    assert core.last == 0 and core._lost == (2, 45)  # what they stand on is not there
+    assert core.last == 0 and core._lost_position == (2, 45)  # what they stand on is not there
     assert any(isinstance(one, Persist) and isinstance(one.writes[0], ReplaceLog) for one in core.tick(1.0))
     file.loop.close()
 
@@ -194,9 +194,9 @@
     """It neither says how far an answer goes nor holds the snapshot that was begun."""
 
     class Before(RaftNode):
-        def _serve_snapshot(self, now, sender, message):
+        def _send_snapshot(self, now, sender, message):
             self._transport = DATAGRAMS
-            told = super()._serve_snapshot(now, sender, message)
+            told = super()._send_snapshot(now, sender, message)
             return [one._replace(message=msgspec.structs.replace(one.message, through=0)) for one in told]
 
     server = Before("a", 1, ["a"], StoredState("folder of a"), 0.0, 1)
@@ -224,7 +224,7 @@
             return super()._handle_append_request(now, sender, msgspec.structs.replace(message, first=0))
 
         def _handle_snapshot_chunk(self, now, sender, message):
-            self._source = sender
+            self._fetch_source = sender
             return super()._handle_snapshot_chunk(now, sender, msgspec.structs.replace(message, through=0))
 
     group = Group("abc", DATAGRAMS)
--- a/tests/record_growth.py
+++ b/tests/record_growth.py
@@ -14,7 +14,7 @@
     SnapshotChunk,
 )
 from sableford.consensus.raft_node import RaftNode, put
-from sableford.consensus.state_machine import TAKEN_PAIRS, StateMachine
+from sableford.consensus.state_machine import MAX_REMEMBERED_NUMBERS, StateMachine
 from sableford.simulation.consensus.growth import Group, measure
 from sableford.simulation.consensus.walk import Walk
 
@@ -46,7 +46,7 @@
         for number in range(1, 200):
             index += 1
             machine.apply(index, Entry(1, Kind.PUT, f"s1#{birth}", number, put("k", b"v")))
-    assert sum(map(len, machine.taken.values())) <= TAKEN_PAIRS
+    assert sum(map(len, machine.taken.values())) <= MAX_REMEMBERED_NUMBERS
     assert len(msgspec.msgpack.encode(machine.snapshot({}))) < 300_000
     # Whoever offered last is known still; twice the numbers that all voters may have under way.
     assert machine.known("s1#299", 199) == (index, True) and machine.known("s1#250", 1)
@@ -76,9 +76,9 @@
 class Old(RaftNode):
     """As before: it has a snapshot only of its newest state, for whoever has fetched half of another."""
 
-    def _serve_snapshot(self, now, sender, message):
-        self._served_snapshots.clear()
-        return super()._serve_snapshot(now, sender, message)
+    def _send_snapshot(self, now, sender, message):
+        self._snapshot_cache.clear()
+        return super()._send_snapshot(now, sender, message)
 
 
 def fetched(make: type[RaftNode]) -> bool:
@@ -133,7 +133,7 @@
 def voter(held: StoredState) -> RaftNode:
     """One of three that votes, and has heard of no leader yet."""
     core = RaftNode("b", 1, ["a", "b", "c"], held, 0.0, 1)
-    core._based = core._voters = {"a": "id-a", "b": held.id, "c": "id-c"}
+    core._base_voters = core._voters = {"a": "id-a", "b": held.id, "c": "id-c"}
     core.standing = Standing.VOTING
     return core
 
--- a/tests/record_leases.py
+++ b/tests/record_leases.py
@@ -67,7 +67,7 @@
     """Takes the time since it answered a leader itself for that of all who elected it."""
 
     def _become_leader(self, now):
-        self._support = {name: -1e12 for name in self._votes}
+        self._support_ended_at = {name: -1e12 for name in self._votes}
         return super()._become_leader(now)
 
 
--- a/tests/record_voters.py
+++ b/tests/record_voters.py
@@ -245,9 +245,9 @@
 class Forgetful(RaftNode):
     """Acknowledges entries as a joining voter and drops them for what it has fetched."""
 
-    def _take_agreed(self, message):
+    def _append_fetched(self, message):
         del self.entries[max(0, self.commit + 1 - self.first) :]
-        return super()._take_agreed(message)
+        return super()._append_fetched(message)
 
 
 def shows_walks_in_which_voters_are_replaced_lose_nothing_and_end_in_agreement() -> None:
