--- a/sableford/simulation/consensus/__init__.py
+++ b/sableford/simulation/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The record in simulated time: seeded walks, an explorer of all orders of a small model, growth."""
+"""Simulations of the replicated log: seeded fault walks, exhaustive exploration of a small model, growth."""
--- a/sableford/simulation/consensus/explorer.py
+++ b/sableford/simulation/consensus/explorer.py
@@ -1,9 +1,8 @@
-"""All orders of a small model of the record: three voters, a few elections, proposals and crashes.
+"""Exhaustive exploration of a small Raft model: three voters, a few elections, proposals and crashes.
 
-It owns the model's bounds and its states. The cores are the real ones; messages may be late for ever, which
-is a loss, and arrive in any order, each disk keeps what it was given in order, one call at a time, and a
-crash loses what it has not. A question whether one may lead (pre-vote) and the questions of a process that
-starts are exchanged at once, since neither leaves anything behind.
+The nodes are the real ones. Messages may arrive in any order or never; a disk completes its writes in order,
+one at a time, and a crash loses those that are not complete. Pre-votes and startup questions are exchanged at
+once, since they change no lasting state.
 """
 
 from collections import deque
@@ -38,34 +37,35 @@
 from sableford.consensus.raft_node import RaftNode, put
 
 NAMES = ("a", "b", "c")
-FAR = 100_000.0  # ms between two steps in which time passes: every wait is over
-FIRST = Entry(1, Kind.VOTERS, data=msgspec.msgpack.encode({name: f"id-{name}" for name in NAMES}))
+STEP_MS = 100_000.0  # ms that pass in a step, longer than every time-out
+VOTERS_ENTRY = Entry(1, Kind.VOTERS, data=msgspec.msgpack.encode({name: f"id-{name}" for name in NAMES}))
 
 
-class Wrong(AssertionError):
-    """What must hold did not; the message has the steps that led there."""
+class InvariantError(AssertionError):
+    """An invariant was violated; the message lists the steps that led there."""
 
 
 class Bounds(NamedTuple):
-    """`stands` names who stands for leader, in this order and at any time: the names are alike, so few
-    orders cover all. `slow` disks keep what they are given at any later time, others at once."""
+    """Limits of the exploration. `candidates`: who starts an election, in this order, at any time; the
+    nodes are symmetric, so a few orders cover all. `slow_disks`: nodes whose disk completes a write at any
+    later time; the others' do so at once."""
 
-    stands: str = "ac"
+    candidates: str = "ac"
     proposals: int = 1
-    crashes: str = ""  # who crashes, each once at any time
-    slow: str = ""  # whose disk
-    states: int = 20_000
-    fetches: bool = False  # voters without a leader fetch what was agreed on; else that is late for ever
+    crashes: str = ""  # nodes that crash, each once, at any time
+    slow_disks: str = ""  # nodes with a slow disk
+    max_states: int = 20_000
+    fetches: bool = False  # deliver fetches of voters without a leader; else they are lost
 
 
-class _Used(NamedTuple):
-    stands: int = 0
+class _StepsTaken(NamedTuple):
+    candidates: int = 0
     proposals: int = 0
     crashes: str = ""
 
 
-class _Still:
-    """No chance: each wait is as long as it may be, at the least."""
+class _FixedRandom:
+    """A fixed random source: every randomized wait takes its shortest value."""
 
     def random(self) -> float:
         return 0.0
@@ -81,143 +81,147 @@
 
 
 class State:
-    """One state of the model; `steps` is how it came about."""
+    """One state of the model; `steps` lists how it was reached."""
 
-    def __init__(self, make: Callable[..., RaftNode], bounds: Bounds) -> None:
-        self._make, self._bounds = make, bounds
+    def __init__(self, make_node: Callable[..., RaftNode], bounds: Bounds) -> None:
+        self._make_node, self._bounds = make_node, bounds
         self.now = 0.0
         self.disks: dict[str, tuple[HardState, tuple[Entry, ...]]] = dict.fromkeys(
-            NAMES, (HardState(1, ""), (FIRST,))
+            NAMES, (HardState(1, ""), (VOTERS_ENTRY,))
         )
-        self.queues: dict[str, tuple] = dict.fromkeys(NAMES, ())  # (number, deeds) not yet on disk
-        self.messages: tuple = ()  # (from, to, word)
-        self.agreed: dict[int, Entry] = {}
-        self.led: dict[int, str] = {}
-        self.used = _Used()
-        self.births = 0
-        self.cores: dict[str, RaftNode] = {}
+        self.pending_writes: dict[str, tuple] = dict.fromkeys(NAMES, ())  # (number, writes) not yet on disk
+        self.messages: tuple = ()  # (from, to, message)
+        self.committed: dict[int, Entry] = {}
+        self.leaders: dict[int, str] = {}
+        self.used = _StepsTaken()
+        self.incarnations = 0
+        self.nodes: dict[str, RaftNode] = {}
         self.steps: tuple[str, ...] = ()
         for name in NAMES:
-            self.cores[name] = self._core(name)
+            self.nodes[name] = self._new_node(name)
         for name in NAMES:
             self._send_startup_questions(name)
 
-    def _core(self, name: str) -> RaftNode:
+    def _new_node(self, name: str) -> RaftNode:
         meta, entries = self.disks[name]
-        self.births += 1
+        self.incarnations += 1
         held = StoredState(f"id-{name}", meta.term, meta.vote, entries=entries)
-        core = self._make(name, self.births, NAMES, held, self.now, 0)
-        core._random = _Still()
-        return core
+        node = self._make_node(name, self.incarnations, NAMES, held, self.now, 0)
+        node._random = _FixedRandom()
+        return node
 
     def _send_startup_questions(self, name: str) -> None:
-        self.now += FAR
-        self.do(name, self.cores[name].tick(self.now))
+        self.now += STEP_MS
+        self.apply_effects(name, self.nodes[name].tick(self.now))
 
     def clone(self, step: str) -> "State":
         new = copy(self)
-        new.disks, new.queues = dict(self.disks), dict(self.queues)
-        new.agreed, new.led = dict(self.agreed), dict(self.led)
-        new.cores = {name: _clone(core) for name, core in self.cores.items()}
+        new.disks, new.pending_writes = dict(self.disks), dict(self.pending_writes)
+        new.committed, new.leaders = dict(self.committed), dict(self.leaders)
+        new.nodes = {name: _clone_node(node) for name, node in self.nodes.items()}
         new.steps = (*self.steps, step)
         return new
 
-    def key(self) -> tuple:
-        """What two states are alike in where they can only go on alike."""
-        cores = tuple(
+    def fingerprint(self) -> tuple:
+        """A key that only states with the same successors share."""
+        nodes = tuple(
             (
                 *(
-                    core.term,
-                    core.vote,
-                    core.leads,
-                    core.commit,
-                    core.durable,
-                    core.standing,
-                    core._in_pre_vote,
+                    node.term,
+                    node.vote,
+                    node.leads,
+                    node.commit,
+                    node.durable,
+                    node.standing,
+                    node._in_pre_vote,
                 ),
-                tuple(core.entries),
-                tuple(sorted(core._votes.items())),
-                tuple((one.next, one.match) for one in core._followers.values()) if core.leads else (),
-                tuple(number - core._persist_count for number, _ in core._held_back),
+                tuple(node.entries),
+                tuple(sorted(node._votes.items())),
+                tuple((one.next, one.match) for one in node._followers.values()) if node.leads else (),
+                tuple(number - node._persist_count for number, _ in node._held_back),
             )
-            for core in self.cores.values()
+            for node in self.nodes.values()
         )
-        queues = tuple(tuple(writes for _, writes in queue) for queue in self.queues.values())
-        return cores, queues, frozenset(self.messages), tuple(self.disks.values()), self.used
+        pending_writes = tuple(
+            tuple(writes for _, writes in writes_of_node) for writes_of_node in self.pending_writes.values()
+        )
+        return nodes, pending_writes, frozenset(self.messages), tuple(self.disks.values()), self.used
 
-    # What happens
+    # Steps
 
-    def do(self, name: str, effects: list) -> None:
+    def apply_effects(self, name: str, effects: list) -> None:
         for effect in effects:
             match effect:
                 case raft_effects.Persist(number, writes):
-                    self.queues[name] = (*self.queues[name], (number, writes))
-                    if name not in self._bounds.slow:
-                        self.keep(name)
+                    self.pending_writes[name] = (*self.pending_writes[name], (number, writes))
+                    if name not in self._bounds.slow_disks:
+                        self.complete_write(name)
                 case raft_effects.Send(to, message):
                     self._send(name, to, message)
                 case Committed(index, entry, _):
-                    if self.agreed.setdefault(index, entry) != entry:
-                        raise Wrong(f"entry {index} settled twice")
+                    if self.committed.setdefault(index, entry) != entry:
+                        raise InvariantError(f"two different entries committed at index {index}")
                 case LogEvent("record_leader", {"leader": leader, "term": term}) if leader == name:
-                    if self.led.setdefault(term, name) != name:
-                        raise Wrong(f"two lead term {term}")
+                    if self.leaders.setdefault(term, name) != name:
+                        raise InvariantError(f"two leaders in term {term}")
 
     def _send(self, name: str, to: str, message: object) -> None:
         at_once = isinstance(message, StartupQuestion | StartupAnswer) or (
             isinstance(message, VoteRequest | VoteResponse) and message.pre
         )
         if at_once:
-            if to in self.cores:
-                self.do(to, self.cores[to].heard(self.now, name, 0, message))
+            if to in self.nodes:
+                self.apply_effects(to, self.nodes[to].heard(self.now, name, 0, message))
         elif not isinstance(message, FetchRequest) or self._bounds.fetches:
-            if isinstance(
-                message, AppendRequest | AppendResponse
-            ):  # rounds are for reads, which are not part of the model
+            if isinstance(message, AppendRequest | AppendResponse):
+                # Rounds serve reads only, which are not part of the model.
                 message = msgspec.structs.replace(message, round=0)
             if (name, to, message) not in self.messages:
                 self.messages = (*self.messages, (name, to, message))
 
     def prune(self) -> None:
-        """Words that can change nothing any more are as good as lost."""
-        self.messages = tuple(message for message in self.messages if self._matters(*message))
+        """Drops messages that can no longer change any state."""
+        self.messages = tuple(message for message in self.messages if self._is_relevant(*message))
 
-    def _matters(self, start: str, to: str, message: object) -> bool:
-        core = self.cores[to]
+    def _is_relevant(self, sender: str, to: str, message: object) -> bool:
+        node = self.nodes[to]
         match message:
             case VoteRequest():
-                return message.term > core.term or (message.term == core.term and core.vote in ("", start))
+                return message.term > node.term or (message.term == node.term and node.vote in ("", sender))
             case VoteResponse():
-                counts = message.yes and message.term == core.term and bool(core._votes) and not core.leads
-                return counts or message.term > core.term
+                counts = message.yes and message.term == node.term and bool(node._votes) and not node.leads
+                return counts or message.term > node.term
             case AppendResponse():
-                return message.term > core.term or (core.leads and message.term == core.term)
+                return message.term > node.term or (node.leads and message.term == node.term)
         return True
 
     def steps_from(self, bounds: Bounds) -> Iterator[tuple[str, Callable[["State"], None]]]:
-        """Everything that may happen next."""
+        """All possible next steps."""
         used = self.used
-        for at, (start, to, message) in enumerate(self.messages):
+        for at, (sender, to, message) in enumerate(self.messages):
             kind = type(message).__name__
-            yield f"{to} hears {kind} of {start}: {message}", lambda it, at=at: it.deliver(at)
+            yield f"{to} receives {kind} from {sender}: {message}", lambda it, at=at: it.deliver(at)
         for name in NAMES:
-            if self.queues[name]:
-                yield f"{name}'s disk keeps", lambda it, name=name: it.keep(name)
-            if bounds.stands[used.stands : used.stands + 1] == name and not self.cores[name].leads:
-                yield f"{name} stands", lambda it, name=name: it.stand(name)
-            if used.proposals < bounds.proposals and self.cores[name].leads:
-                yield f"{name} is offered something", lambda it, name=name: it.propose(name)
+            if self.pending_writes[name]:
+                yield f"{name}'s disk completes a write", lambda it, name=name: it.complete_write(name)
+            if (
+                bounds.candidates[used.candidates : used.candidates + 1] == name
+                and not self.nodes[name].leads
+            ):
+                yield f"{name} starts an election", lambda it, name=name: it.start_election(name)
+            if used.proposals < bounds.proposals and self.nodes[name].leads:
+                yield f"{name} gets a proposal", lambda it, name=name: it.propose(name)
             if name in bounds.crashes and name not in used.crashes:
-                yield f"{name} crashes and starts", lambda it, name=name: it.crash(name)
+                yield f"{name} crashes and restarts", lambda it, name=name: it.crash(name)
 
     def deliver(self, at: int) -> None:
-        start, to, message = self.messages[at]
+        sender, to, message = self.messages[at]
         self.messages = self.messages[:at] + self.messages[at + 1 :]
-        self.do(to, self.cores[to].heard(self.now, start, 0, message))
+        self.apply_effects(to, self.nodes[to].heard(self.now, sender, 0, message))
 
-    def keep(self, name: str) -> None:
-        (number, writes), *rest = self.queues[name]
-        self.queues[name] = tuple(rest)
+    def complete_write(self, name: str) -> None:
+        (number, writes), *rest = self.pending_writes[name]
+        self.pending_writes[name] = tuple(rest)
         meta, entries = self.disks[name]
         for write in writes:
             match write:
@@ -230,49 +234,49 @@
                 case ReplaceLog(_, meta, _, _, _, entries, _):
                     pass
         self.disks[name] = meta, entries
-        self.do(name, self.cores[name].stored(self.now, number))
+        self.apply_effects(name, self.nodes[name].stored(self.now, number))
 
-    def stand(self, name: str) -> None:
-        self.used = self.used._replace(stands=self.used.stands + 1)
-        self.now += FAR
-        core = self.cores[name]
-        core._last_tick, core._election_due_at = self.now, self.now
-        self.do(name, core.tick(self.now))
+    def start_election(self, name: str) -> None:
+        self.used = self.used._replace(candidates=self.used.candidates + 1)
+        self.now += STEP_MS
+        node = self.nodes[name]
+        node._last_tick, node._election_due_at = self.now, self.now
+        self.apply_effects(name, node.tick(self.now))
 
     def propose(self, name: str) -> None:
         self.used = self.used._replace(proposals=self.used.proposals + 1)
-        _, effects = self.cores[name].propose(self.now, put("k", b"%d" % self.used.proposals))
-        self.do(name, effects)
+        _, effects = self.nodes[name].propose(self.now, put("k", b"%d" % self.used.proposals))
+        self.apply_effects(name, effects)
 
     def crash(self, name: str) -> None:
         self.used = self.used._replace(crashes="".join(sorted(self.used.crashes + name)))
-        self.queues[name] = ()
-        self.cores[name] = self._core(name)
+        self.pending_writes[name] = ()
+        self.nodes[name] = self._new_node(name)
         self._send_startup_questions(name)
 
 
-def _clone(core: RaftNode) -> RaftNode:
-    new = copy(core)
-    for field, value in core.__dict__.items():
+def _clone_node(node: RaftNode) -> RaftNode:
+    new = copy(node)
+    for field, value in node.__dict__.items():
         if isinstance(value, list | dict | deque):
             new.__dict__[field] = copy(value)
-    new._followers = {name: copy(one) for name, one in core._followers.items()}
-    new._proposals = {number: copy(one) for number, one in core._proposals.items()}
-    new.state_machine = copy(core.state_machine)
+    new._followers = {name: copy(one) for name, one in node._followers.items()}
+    new._proposals = {number: copy(one) for number, one in node._proposals.items()}
+    new.state_machine = copy(node.state_machine)
     new.state_machine.values, new.state_machine.taken = (
-        dict(core.state_machine.values),
-        {author: dict(taken) for author, taken in core.state_machine.taken.items()},
+        dict(node.state_machine.values),
+        {author: dict(taken) for author, taken in node.state_machine.taken.items()},
     )
     return new
 
 
-def explore(bounds: Bounds, make: Callable[..., RaftNode] = RaftNode) -> tuple[int, bool]:
-    """How many different states were seen, breadth first, and whether those are all there are. Raises Wrong
-    with the shortest way to a state that must not be."""
-    first = State(make, bounds)
-    if any(core.standing is not Standing.VOTING for core in first.cores.values()):
-        raise Wrong("the voters do not come up")
-    seen, waiting = {first.key()}, deque([first])
+def explore(bounds: Bounds, make_node: Callable[..., RaftNode] = RaftNode) -> tuple[int, bool]:
+    """Explores breadth first; returns the number of distinct states and whether those are all. Raises
+    InvariantError with the shortest sequence of steps to a violation."""
+    first = State(make_node, bounds)
+    if any(node.standing is not Standing.VOTING for node in first.nodes.values()):
+        raise InvariantError("the voters do not all reach standing VOTING")
+    seen, waiting = {first.fingerprint()}, deque([first])
     while waiting:
         state = waiting.popleft()
         for step, write in state.steps_from(bounds):
@@ -280,12 +284,12 @@
             try:
                 write(new)
             except AssertionError as problem:
-                raise Wrong("\n".join((str(problem), *new.steps))) from problem
+                raise InvariantError("\n".join((str(problem), *new.steps))) from problem
             new.prune()
-            key = new.key()
-            if key not in seen:
-                if len(seen) >= bounds.states:
+            fingerprint = new.fingerprint()
+            if fingerprint not in seen:
+                if len(seen) >= bounds.max_states:
                     return len(seen), False
-                seen.add(key)
+                seen.add(fingerprint)
                 waiting.append(new)
     return len(seen), True
--- a/sableford/simulation/consensus/walk.py
+++ b/sableford/simulation/consensus/walk.py
@@ -1,8 +1,7 @@
-"""Seeded walks of the record in simulated time: crashes, lying disks, cuts and losses, and what must hold
-all along.
+"""Seeded random walks of the replicated log in simulated time, with crashes, disk faults, partitions and
+message loss, and the invariants that must hold throughout.
 
-It owns the memory disk with its lies, and the checks. A walk stays within what `docs/fleet.md` promises,
-unless it is asked not to.
+A walk keeps to the faults that `docs/fleet.md` promises to survive.
 """
 
 from collections.abc import Callable
@@ -17,25 +16,25 @@
 from sableford.consensus.raft_node import RaftNode, put
 from sableford.fleet.trial import Trial
 
-LIES = ("torn", "flip", "flip_end", "lost", "older", "emptied")
-FLUSH = (0.5, 30.0)  # ms of one flush
-REST = 6000.0  # ms after all faults for the walk to end in agreement
-PROPOSAL_INTERVAL = 40.0  # ms between two proposals
-STEP = 250.0  # ms between two faults
+DISK_FAULTS = ("torn", "flip", "flip_end", "lost", "older", "emptied")
+FLUSH_MS = (0.5, 30.0)  # ms of one flush, at least and at most
+SETTLE_MS = 6000.0  # ms after the last fault within which all nodes must agree
+PROPOSAL_INTERVAL_MS = 40.0  # ms between proposals
+FAULT_INTERVAL_MS = 250.0  # ms between faults
 
 
-class Wrong(AssertionError):
-    """What must hold did not."""
+class InvariantError(AssertionError):
+    """An invariant was violated."""
 
 
 class MemoryDisk:
-    """Files of one folder: as they are, and as a crash of the machine leaves them."""
+    """Files of one folder: their current content, and what a crash of the machine leaves of it."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
-        self.kept: dict[str, bytes] = {}
-        self.past: list[dict[str, bytes]] = []  # as it was at each flush
-        self.fails: str = ""
+        self.durable: dict[str, bytes] = {}
+        self.flushed: list[dict[str, bytes]] = []  # the durable files after each of the last flushes
+        self.error: str = ""
 
     def names(self) -> list[str]:
         return sorted(self.files)
@@ -44,8 +43,8 @@
         return self.files[name]
 
     def _check(self) -> None:
-        if self.fails:
-            raise OSError(self.fails)
+        if self.error:
+            raise OSError(self.error)
 
     def append(self, name: str, data: bytes) -> None:
         self._check()
@@ -53,46 +52,46 @@
 
     def sync(self, name: str) -> None:
         self._check()
-        self.kept[name] = self.files[name]
-        self.past = [*self.past[-30:], dict(self.kept)]
+        self.durable[name] = self.files[name]
+        self.flushed = [*self.flushed[-30:], dict(self.durable)]
 
     def write(self, name: str, data: bytes) -> None:
         self._check()
-        self.files[name] = self.kept[name] = data
-        self.past = [*self.past[-30:], dict(self.kept)]
+        self.files[name] = self.durable[name] = data
+        self.flushed = [*self.flushed[-30:], dict(self.durable)]
 
     def note(self, name: str, data: bytes) -> None:
-        self.files[name] = self.kept[name] = data
+        self.files[name] = self.durable[name] = data
 
     def remove(self, name: str) -> None:
         self.files.pop(name, None)
-        self.kept.pop(name, None)
+        self.durable.pop(name, None)
 
-    def crash(self, draw: Random, lie: str = "") -> None:
-        """What was not flushed goes, or only a part of it; and a lie takes more than that."""
-        files = dict(self.kept)
+    def crash(self, random: Random, disk_fault: str = "") -> None:
+        """Loses all or part of what was not flushed, and with a disk fault durable data as well."""
+        files = dict(self.durable)
         logs = [name for name in files if name.startswith("log-")]
         log = max(logs, key=lambda name: int(name[4:]), default="")
         more = self.files.get(log, b"")[len(files.get(log, b"")) :]
-        if log and draw.random() < 0.5:  # some of what was under way reached the disk
-            files[log] += more[: draw.randrange(len(more) + 1)]
+        if log and random.random() < 0.5:  # a part of the unflushed data reached the disk
+            files[log] += more[: random.randrange(len(more) + 1)]
         text = files.get(log, b"")
-        if lie == "torn" and len(text) > 200:
-            files[log] = text[: len(text) - draw.randint(1, 60)]
-        elif lie == "flip" and len(text) > 300:
-            at = draw.randrange(60, len(text) - 60)
+        if disk_fault == "torn" and len(text) > 200:
+            files[log] = text[: len(text) - random.randint(1, 60)]
+        elif disk_fault == "flip" and len(text) > 300:
+            at = random.randrange(60, len(text) - 60)
             files[log] = text[:at] + bytes([text[at] ^ 4]) + text[at + 1 :]
-        elif lie == "flip_end" and len(text) > 200:
+        elif disk_fault == "flip_end" and len(text) > 200:
             files[log] = text[:-5] + bytes([text[-5] ^ 1]) + text[-4:]
-        elif lie in ("lost", "older") and self.past:
-            files = dict(self.past[max(0, len(self.past) - (3 if lie == "lost" else 20))])
-        elif lie == "emptied":
+        elif disk_fault in ("lost", "older") and self.flushed:
+            files = dict(self.flushed[max(0, len(self.flushed) - (3 if disk_fault == "lost" else 20))])
+        elif disk_fault == "emptied":
             files = {}
-        self.files, self.kept, self.past = dict(files), dict(files), []
+        self.files, self.durable, self.flushed = dict(files), dict(files), []
 
 
 class Walk:
-    """One walk. `promised` keeps it to one lying folder at a time, with the others there to say so."""
+    """One walk. At most one voter's folder is faulty at a time, while the other voters can be reached."""
 
     def __init__(
         self,
@@ -100,30 +99,29 @@
         voters: int = 3,
         learners: int = 1,
         loss: float = 0.05,
-        lies: tuple[str, ...] = LIES,
-        make: Callable[..., RaftNode] = RaftNode,
+        disk_faults: tuple[str, ...] = DISK_FAULTS,
+        make_node: Callable[..., RaftNode] = RaftNode,
         value_bytes: int = 0,
     ) -> None:
-        """`value_bytes`: by how much each value offered is longer than its number."""
-        self._more = b" " * value_bytes
-        self.draw, self.lies, self._make = Random(f"walk {seed}"), lies, make
+        """`value_bytes`: padding of each proposed value."""
+        self._padding = b" " * value_bytes
+        self.random, self.disk_faults, self._make_node = Random(f"walk {seed}"), disk_faults, make_node
         self.seed, self.loss = seed, loss
         self.trial = Trial(seed, 2.0, loss)
         self.trial.seen = self._seen
         self.voters = [f"v{at}" for at in range(voters)]
         self.names = [*self.voters, *(f"l{at}" for at in range(learners))]
         self.disks = {name: MemoryDisk() for name in self.names}
-        self.stores: dict[str, LogFiles] = {}
+        self.log_files: dict[str, LogFiles] = {}
         self.starts = 0
-        self.led: dict[int, str] = {}
-        self.agreed: dict[int, object] = {}
+        self.leaders: dict[int, str] = {}
+        self.committed: dict[int, object] = {}
         self.acked: dict[int, int] = {}  # proposals acknowledged: index by proposal
-        self.asked: dict[
-            tuple[str, int], tuple[int, int | None]
-        ] = {}  # proposal, or the least a read has to see
-        self.proposals = self.reads = self.changes = 0
-        self.story: list[str] = []
-        self.lying: str = ""  # who came back from a lie and does not vote again yet
+        # By node and number: the number of the proposal, or the least index that a read must see.
+        self.pending: dict[tuple[str, int], tuple[int, int | None]] = {}
+        self.proposals = self.reads = self.leader_changes = 0
+        self.events: list[str] = []
+        self.faulty_voter: str = ""  # the voter that had a disk fault and does not vote again yet
         for name in self.names:
             self.start(name)
 
@@ -131,110 +129,114 @@
 
     def start(self, name: str) -> None:
         self.starts += 1
-        store = LogFiles(self.disks[name], name)
-        found = store.open()
-        self.stores[name] = store
-        core = self._make(name, self.starts, self.voters, found.held, self.trial.now, self.seed)
-        self.story.append(f"{self.trial.now:.0f} {name} starts: {found.said}")
-        self.trial.add(core)
+        log_file = LogFiles(self.disks[name], name)
+        found = log_file.open()
+        self.log_files[name] = log_file
+        node = self._make_node(name, self.starts, self.voters, found.held, self.trial.now, self.seed)
+        self.events.append(f"{self.trial.now:.0f} {name} starts: {found.said}")
+        self.trial.add(node)
         if found.failed:
-            self._fail(name, core, found.failed)
+            self._fail(name, node, found.failed)
 
-    def _fail(self, name: str, core: RaftNode, why: str) -> None:
+    def _fail(self, name: str, node: RaftNode, why: str) -> None:
         trial = self.trial
-        trial.do(name, core.failed(trial.now, why))
+        trial.do(name, node.failed(trial.now, why))
 
         def again() -> None:
-            if trial.cores[name] is core:
-                trial.do(name, core.rewrite())
+            if trial.cores[name] is node:
+                trial.do(name, node.rewrite())
 
         trial.at(trial.now + 500.0, name, again)
 
-    def crash(self, name: str, lie: str = "") -> None:
-        self.story.append(f"{self.trial.now:.0f} {name} crashes, {lie or 'honest'}")
+    def crash(self, name: str, disk_fault: str = "") -> None:
+        self.events.append(f"{self.trial.now:.0f} {name} crashes, {disk_fault or 'no disk fault'}")
         self.trial.kill(name)
-        self.disks[name].crash(self.draw, lie)
-        self.asked = {key: value for key, value in self.asked.items() if key[0] != name}
-        if lie:
-            self.lying = name
+        self.disks[name].crash(self.random, disk_fault)
+        self.pending = {key: value for key, value in self.pending.items() if key[0] != name}
+        if disk_fault:
+            self.faulty_voter = name
 
     def _seen(self, name: str, effect: object) -> None:
         match effect:
             case raft_effects.Persist(number, writes):
-                self._store(name, number, writes)
+                self._persist(name, number, writes)
             case Committed(index, entry, _):
-                if self.agreed.setdefault(index, entry) != entry:
-                    raise Wrong(f"{name} settles another entry {index}: {entry} beside {self.agreed[index]}")
+                if self.committed.setdefault(index, entry) != entry:
+                    raise InvariantError(
+                        f"{name} commits {entry} at index {index}, another {self.committed[index]}"
+                    )
             case ProposalResult(number, yes, index, _):
                 self._answer(name, number, yes, index)
             case LogEvent("record_leader", facts) if facts["leader"] == name:
-                if self.led.setdefault(facts["term"], name) != name:
-                    raise Wrong(f"{name} and {self.led[facts['term']]} both lead term {facts['term']}")
-                self.changes += 1
-                self.story.append(f"{self.trial.now:.0f} {name} leads term {facts['term']}")
+                if self.leaders.setdefault(facts["term"], name) != name:
+                    raise InvariantError(
+                        f"{name} and {self.leaders[facts['term']]} both lead term {facts['term']}"
+                    )
+                self.leader_changes += 1
+                self.events.append(f"{self.trial.now:.0f} {name} leads term {facts['term']}")
             case LogEvent(event, facts):
-                self.story.append(f"{self.trial.now:.0f} {name} {event} {facts}")
-                if event == "record_standing" and facts["standing"] == "VOTING" and name == self.lying:
-                    self.lying = ""
+                self.events.append(f"{self.trial.now:.0f} {name} {event} {facts}")
+                if event == "record_standing" and facts["standing"] == "VOTING" and name == self.faulty_voter:
+                    self.faulty_voter = ""
 
-    def _store(self, name: str, number: int, writes: tuple) -> None:
-        store, core = self.stores[name], self.trial.cores[name]
+    def _persist(self, name: str, number: int, writes: tuple) -> None:
+        log_file, node = self.log_files[name], self.trial.cores[name]
 
         def done() -> None:
-            if self.trial.cores[name] is not core:
+            if self.trial.cores[name] is not node:
                 return
             try:
-                store.keep(writes)
+                log_file.keep(writes)
             except OSError as problem:
-                self._fail(name, core, str(problem))
+                self._fail(name, node, str(problem))
                 return
-            self.trial.do(name, core.stored(self.trial.now, number))
+            self.trial.do(name, node.stored(self.trial.now, number))
 
-        # One after the other, as one hand does it.
-        free = getattr(store, "free_at", 0.0)
-        store.free_at = max(free, self.trial.now) + self.draw.uniform(*FLUSH)
-        self.trial.at(store.free_at, name, done)
+        # One after the other, as on one worker thread.
+        free = getattr(log_file, "free_at", 0.0)
+        log_file.free_at = max(free, self.trial.now) + self.random.uniform(*FLUSH_MS)
+        self.trial.at(log_file.free_at, name, done)
 
     # Proposals and reads
 
     def propose(self, name: str) -> None:
-        core = self.trial.cores[name]
+        node = self.trial.cores[name]
         if name in self.trial.dead or name in self.trial.stopped:
             return
-        if self.draw.random() < 0.3:
-            number, effects = core.propose(self.trial.now, None)
-            self.asked[name, number] = 0, max(self.acked.values(), default=0)
+        if self.random.random() < 0.3:
+            number, effects = node.propose(self.trial.now, None)
+            self.pending[name, number] = 0, max(self.acked.values(), default=0)
             self.reads += 1
         else:
             self.proposals += 1
-            key = f"k{self.draw.randrange(5)}"
-            number, effects = core.propose(self.trial.now, put(key, b"%d" % self.proposals + self._more))
-            self.asked[name, number] = self.proposals, None
+            key = f"k{self.random.randrange(5)}"
+            number, effects = node.propose(self.trial.now, put(key, b"%d" % self.proposals + self._padding))
+            self.pending[name, number] = self.proposals, None
         self.trial.do(name, effects)
 
     def _answer(self, name: str, number: int, yes: bool, index: int) -> None:
-        proposal, least = self.asked.pop((name, number), (0, None))
+        proposal, least = self.pending.pop((name, number), (0, None))
         if not yes:
             return
         if least is not None:
             if index < least:
-                raise Wrong(f"{name} read up to {index}, and {least} was acknowledged before it asked")
+                raise InvariantError(f"{name} read at index {index}, after {least} was acknowledged")
         elif proposal:
             self.acked[proposal] = index
 
-    # The walk
+    # Faults
 
     def step(self) -> None:
-        """One fault, or the end of some."""
-        name, trial = self.draw.choice(self.names), self.trial
+        """Causes one fault, or ends some."""
+        name, trial = self.random.choice(self.names), self.trial
         dead = [one for one in self.voters if one in trial.dead]
-        kind = self.draw.choice(
-            ["crash", "start", "start", "stop", "go_on", "cut", "heal", "heal", "lie", "fail"]
+        kind = self.random.choice(
+            ["crash", "start", "start", "stop", "go_on", "cut", "heal", "heal", "disk_fault", "fail"]
         )
         if kind == "crash" and name not in trial.dead and len(dead) < len(self.voters):
             self.crash(name)
-        elif kind == "lie" and self.lies and name in self.voters and self._may_lie(name):
-            self.crash(name, self.draw.choice(self.lies))
+        elif kind == "disk_fault" and self.disk_faults and name in self.voters and self._may_fault_disk(name):
+            self.crash(name, self.random.choice(self.disk_faults))
             self.start(name)
         elif kind == "start" and name in trial.dead:
             self.start(name)
@@ -243,33 +245,33 @@
         elif kind == "go_on" and name in trial.stopped:
             trial.go_on(name)
         elif kind == "cut":
-            apart, one_way = {name, self.draw.choice(self.names)}, self.draw.random() < 0.3
+            apart, one_way = {name, self.random.choice(self.names)}, self.random.random() < 0.3
             trial.cut = lambda start, end: (start in apart) != (end in apart) and (
                 not one_way or start in apart
             )
         elif kind == "heal":
             trial.cut = lambda start, end: False
         elif kind == "fail" and name not in trial.dead:
-            self.disks[name].fails = "" if self.disks[name].fails else "No space left on device"
+            self.disks[name].error = "" if self.disks[name].error else "No space left on device"
 
-    def _may_lie(self, name: str) -> bool:
-        """The others live, can be reached, and none of them has lied and not come back."""
+    def _may_fault_disk(self, name: str) -> bool:
+        """Whether all other voters run, can be reached and vote, and no earlier disk fault is unresolved."""
         others = [one for one in self.voters if one != name]
         up = all(one not in self.trial.dead and one not in self.trial.stopped for one in others)
         sound = all(self.trial.cores[one].standing is raft_effects.Standing.VOTING for one in others)
         cut = any(self.trial.cut(one, two) for one in self.voters for two in self.voters if one != two)
-        return up and sound and not cut and not self.lying and name not in self.trial.dead
+        return up and sound and not cut and not self.faulty_voter and name not in self.trial.dead
 
     def run(self, steps: int) -> None:
-        """Raises Wrong where something does not hold; else all agree at the end."""
+        """Raises InvariantError if an invariant is violated or the nodes do not agree at the end."""
         next_proposal = 500.0
         self.trial.run(2500.0)
         for _ in range(steps):
-            until = self.trial.now + self.draw.uniform(0.2, 2.0) * STEP
+            until = self.trial.now + self.random.uniform(0.2, 2.0) * FAULT_INTERVAL_MS
             while next_proposal < until:
                 self.trial.run(max(next_proposal, self.trial.now))
-                self.propose(self.draw.choice(self.names))
-                next_proposal = self.trial.now + self.draw.uniform(0.3, 2.0) * PROPOSAL_INTERVAL
+                self.propose(self.random.choice(self.names))
+                next_proposal = self.trial.now + self.random.uniform(0.3, 2.0) * PROPOSAL_INTERVAL_MS
             self.trial.run(until)
             self.step()
         self.settle()
@@ -278,31 +280,33 @@
         self.trial.cut = lambda start, end: False
         self.trial.loss = 0.0
         for name in self.names:
-            self.disks[name].fails = ""
+            self.disks[name].error = ""
             if name in self.trial.dead:
                 self.start(name)
             elif name in self.trial.stopped:
                 self.trial.go_on(name)
-        self.trial.run(self.trial.now + REST)
+        self.trial.run(self.trial.now + SETTLE_MS)
         before = len(self.acked)
         for name in self.names:
-            core = self.trial.cores[name]
+            node = self.trial.cores[name]
             self.proposals += 1
-            number, effects = core.propose(self.trial.now, put("last", name.encode()))
-            self.asked[name, number] = self.proposals, None
+            number, effects = node.propose(self.trial.now, put("last", name.encode()))
+            self.pending[name, number] = self.proposals, None
             self.trial.do(name, effects)
-        self.trial.run(self.trial.now + REST / 2.0)
+        self.trial.run(self.trial.now + SETTLE_MS / 2.0)
         if len(self.acked) < before + len(self.names):
-            raise Wrong(
-                f"with all well again {len(self.acked) - before} of {len(self.names)} offers are taken"
+            raise InvariantError(
+                f"after all faults {len(self.acked) - before} of {len(self.names)} proposals were committed"
             )
         commits = {name: self.trial.cores[name].commit for name in self.names}
         if len(set(commits.values())) > 1:
-            raise Wrong(f"with all well again they stand at {commits}")
-        images = {msgspec.msgpack.encode(core.state_machine.values) for core in self.trial.cores.values()}
+            raise InvariantError(f"after all faults the commit indexes differ: {commits}")
+        images = {msgspec.msgpack.encode(node.state_machine.values) for node in self.trial.cores.values()}
         if len(images) > 1:
-            raise Wrong("one order of entries, and different values")
+            raise InvariantError("the same entries led to different values")
         gone = [index for index in self.acked.values() if index > min(commits.values())]
-        entries = {index for index, entry in self.agreed.items() if entry.kind == Kind.PUT}
+        entries = {index for index, entry in self.committed.items() if entry.kind == Kind.PUT}
         if gone or not set(self.acked.values()) <= entries:
-            raise Wrong(f"acknowledged and not there: {gone or set(self.acked.values()) - entries}")
+            raise InvariantError(
+                f"acknowledged but not committed: {gone or set(self.acked.values()) - entries}"
+            )
--- a/tests/joined.py
+++ b/tests/joined.py
@@ -279,7 +279,7 @@
     """How fast that is, in simulated time: on real processes it would be a claim on the machine."""
     for seed in range(30):
         for what in ("kill", "stop", "cut"):
-            trial = Walk(seed, voters=5, learners=0, loss=0.0, lies=()).trial
+            trial = Walk(seed, voters=5, learners=0, loss=0.0, disk_faults=()).trial
             trial.run(3000.0)
             hit = next(name for name, core in trial.cores.items() if core.leads)
             if what == "cut":
--- a/tests/record.py
+++ b/tests/record.py
@@ -1,4 +1,4 @@
-"""Plain asserts on the record: all orders of a small model, walks in simulated time, and damaged folders."""
+"""Replicated log: exhaustive exploration of a small model, simulated fault walks, and damaged folders."""
 
 import tempfile
 from pathlib import Path
@@ -12,12 +12,12 @@
 from sableford.consensus.messages import AppendResponse, Entry, Kind
 from sableford.consensus.raft_node import RaftNode, put
 from sableford.consensus.state_machine import StateMachine
-from sableford.simulation.consensus.explorer import Bounds, Wrong, explore
+from sableford.simulation.consensus.explorer import Bounds, InvariantError, explore
 from sableford.simulation.consensus.walk import MemoryDisk, Walk
 
 
-class NoLook(RaftNode):
-    """Votes for whoever asks first, however little it holds."""
+class VotesWithoutLogCheck(RaftNode):
+    """Votes for the first candidate without comparing logs."""
 
     def _handle_vote_request(self, now, sender, message):
         return super()._handle_vote_request(
@@ -25,29 +25,29 @@
         )
 
 
-class Hasty(RaftNode):
-    """Says what it voted before that is on disk."""
+class VotesBeforeSync(RaftNode):
+    """Sends its vote before it is on disk."""
 
-    def _persist(self, *deeds, then=None):
+    def _persist(self, *writes, then=None):
         votes = [e for e in then or () if not (isinstance(e, Send) and isinstance(e.message, AppendResponse))]
-        if votes and all(isinstance(deed, HardState) for deed in deeds):
+        if votes and all(isinstance(write, HardState) for write in writes):
             rest = [effect for effect in votes if isinstance(effect, raft_effects.OwnVoteCounts)]
             said = [effect for effect in votes if effect not in rest]
-            return super()._persist(*deeds, then=rest) + said
-        return super()._persist(*deeds, then=then)
+            return super()._persist(*writes, then=rest) + said
+        return super()._persist(*writes, then=then)
 
 
-class Eager(RaftNode):
-    """Says that it holds entries before they are on disk."""
+class AcknowledgesBeforeSync(RaftNode):
+    """Acknowledges entries before they are on disk."""
 
-    def _persist(self, *deeds, then=None):
+    def _persist(self, *writes, then=None):
         if then and any(isinstance(e, Send) and isinstance(e.message, AppendResponse) for e in then):
-            return super()._persist(*deeds) + list(then)
-        return super()._persist(*deeds, then=then)
+            return super()._persist(*writes) + list(then)
+        return super()._persist(*writes, then=then)
 
 
-class Meek(RaftNode):
-    """Takes entries from a leader of an earlier term, over what was agreed on."""
+class AcceptsOldTerms(RaftNode):
+    """Accepts entries from a leader of an earlier term, even over committed ones."""
 
     def _handle_append_request(self, now, sender, message):
         later = msgspec.structs.replace(message, term=max(message.term, self.term))
@@ -58,31 +58,31 @@
     for bounds, least in ((Bounds("a", 1), 2000), (Bounds("ac", 0, "a", "a"), 4000)):
         states, all_of_them = explore(bounds)
         assert all_of_them and states > least, states
-    for bounds in (Bounds("ac", 1, states=6000), Bounds("ac", 1, states=6000, fetches=True)):
+    for bounds in (Bounds("ac", 1, max_states=6000), Bounds("ac", 1, max_states=6000, fetches=True)):
         assert explore(bounds)[0] == 6000
 
 
 def shows_each_planted_mistake_is_found_with_the_way_to_it() -> None:
     for mistake, bounds in (
-        (NoLook, Bounds("acc", 0)),
-        (Hasty, Bounds("ac", 0, "b", "b")),
-        (Eager, Bounds("acc", 0, "b", "b")),
-        (Meek, Bounds("acc", 0)),
+        (VotesWithoutLogCheck, Bounds("acc", 0)),
+        (VotesBeforeSync, Bounds("ac", 0, "b", "b")),
+        (AcknowledgesBeforeSync, Bounds("acc", 0, "b", "b")),
+        (AcceptsOldTerms, Bounds("acc", 0)),
     ):
         try:
             found = explore(bounds, mistake)
-        except Wrong as wrong:
-            assert str(wrong).count("\n") > 4, wrong
+        except InvariantError as error:
+            assert str(error).count("\n") > 4, error
         else:
             raise AssertionError(f"{mistake.__name__} was not found in {found[0]} states")
 
 
 def shows_a_leader_counts_an_earlier_terms_entry_only_with_one_of_its_own() -> None:
-    walk = Walk(1, learners=0, loss=0.0, lies=())
+    walk = Walk(1, learners=0, loss=0.0, disk_faults=())
     walk.trial.run(3000.0)
-    leader = next(core for core in walk.trial.cores.values() if core.leads)
+    leader = next(node for node in walk.trial.cores.values() if node.leads)
     leader.entries.append(Entry(leader.term, Kind.NOTHING))
-    leader.term += 1  # as if elected anew, with an entry that it had not agreed on before
+    leader.term += 1  # as if elected again, with an uncommitted entry of its earlier term
     for one in leader._followers.values():
         one.match = leader.last
     leader.durable = leader.last
@@ -100,21 +100,25 @@
 def shows_walks_with_crashes_cuts_and_full_disks_lose_nothing_and_end_in_agreement() -> None:
     proposals = reads = leaders = 0
     for seed in range(60):
-        walk = Walk(seed, voters=3 if seed % 3 else 5, lies=())
+        walk = Walk(seed, voters=3 if seed % 3 else 5, disk_faults=())
         walk.run(30)
-        proposals, reads, leaders = proposals + walk.proposals, reads + walk.reads, leaders + walk.changes
+        proposals, reads, leaders = (
+            proposals + walk.proposals,
+            reads + walk.reads,
+            leaders + walk.leader_changes,
+        )
     assert proposals > 4000 and reads > 1500 and leaders > 90, (proposals, reads, leaders)
 
 
 def shows_walks_with_folders_torn_flipped_lost_set_back_and_emptied_lose_nothing_either() -> None:
-    told = []
+    events = []
     for seed in range(100, 240):
         walk = Walk(seed, voters=3 if seed % 3 else 5)
         walk.run(30)
-        told += walk.story
-    said = "\n".join(told)
+        events += walk.events
+    text = "\n".join(events)
     counts = [
-        said.count(phrase) for phrase in ("'REPLACED'", "'INCOMPLETE'", "readmitted", "fetched what it lost")
+        text.count(phrase) for phrase in ("'REPLACED'", "'INCOMPLETE'", "readmitted", "fetched what it lost")
     ]
     assert counts[0] > 20 and counts[1] > 1 and counts[2] > 20 and counts[3] > 1, counts
 
@@ -126,8 +130,8 @@
     assert not machine.apply(3, Entry(1, Kind.PUT, data=put("a", b"2"))) and machine.last == 1
 
 
-def folder() -> tuple[MemoryDisk, bytes]:
-    """Ten entries, each flushed for itself."""
+def folder_with_entries() -> tuple[MemoryDisk, bytes]:
+    """A folder with a vote and ten entries, each flushed separately, and its log file."""
     disk = MemoryDisk()
     store = LogFiles(disk, "a")
     store.open()
@@ -138,10 +142,10 @@
 
 
 def shows_a_torn_last_record_is_cut_off_and_a_changed_byte_anywhere_is_damage_never_another_entry() -> None:
-    disk, log = folder()
+    disk, log = folder_with_entries()
     whole = recover("a", disk.files, "new").held
     assert len(whole.entries) == 10 and whole.lost is None and whole.vote == "b"
-    # Written in part and never flushed: nobody was told of it.
+    # Partly written and never flushed, so it was never acknowledged.
     torn = recover("a", disk.files | {"log-1": log + log[-40:-9]}, "new").held
     assert torn.entries == whole.entries and torn.lost is None
     for size in range(len(log)):
@@ -150,15 +154,15 @@
         assert held.entries == whole.entries[: len(held.entries)]
         assert not short or held.id == "new" or held.lost == (3, 10), (size, held)
     for at in range(len(log)):
-        spoilt = log[:at] + bytes([log[at] ^ 8]) + log[at + 1 :]
-        held = recover("a", disk.files | {"log-1": spoilt}, "new").held
+        corrupt = log[:at] + bytes([log[at] ^ 8]) + log[at + 1 :]
+        held = recover("a", disk.files | {"log-1": corrupt}, "new").held
         assert held.entries == whole.entries[: len(held.entries)] and len(held.entries) < 10
         assert held.id == "new" or held.lost == (3, 10), (at, held)
 
 
 def shows_damage_is_remembered_over_a_restart_and_anothers_folder_is_set_aside() -> None:
-    disk, log = folder()
-    disk.files["log-1"] = disk.kept["log-1"] = log[:200] + b"?" + log[201:]
+    disk, log = folder_with_entries()
+    disk.files["log-1"] = disk.durable["log-1"] = log[:200] + b"?" + log[201:]
     assert LogFiles(disk, "a").open().held.lost == (3, 10)
     again = LogFiles(disk, "a").open()
     assert again.held.lost == (3, 10) and again.held.id != "new"
@@ -171,11 +175,11 @@
     disk = MemoryDisk()
     store = LogFiles(disk, "a")
     held = store.open().held
-    core = RaftNode("a", 1, ["a"], held, 0.0, 1)
+    node = RaftNode("a", 1, ["a"], held, 0.0, 1)
     entries = [Entry(1, Kind.PUT, "x#1", at, put(f"k{at % 50}", b"%d" % at)) for at in range(1, 10_501)]
-    core.term = 1
-    core.entries.extend(entries)
-    effects = core._apply_committed(10_500)
+    node.term = 1
+    node.entries.extend(entries)
+    effects = node._apply_committed(10_500)
     stores = [effect for effect in effects if isinstance(effect, raft_effects.Persist)]
     for effect in stores:
         store.keep(effect.writes)
@@ -183,7 +187,7 @@
     back = RaftNode("a", 2, ["a"], found.held, 0.0, 1)
     assert (
         back.state_machine.last == 10_500
-        and back.state_machine.values == core.state_machine.values
+        and back.state_machine.values == node.state_machine.values
         and not found.said
     )
     log = next(text for name, text in disk.files.items() if name.startswith("log-"))
@@ -204,7 +208,7 @@
         except BlockingIOError:
             pass
         else:
-            raise AssertionError("two hold one folder")
+            raise AssertionError("two processes opened one folder")
         disk.release()
         again = LogFiles(RealDisk(Path(place, "fleet")), "a").open()
         assert (again.held.id, again.held.vote, len(again.held.entries)) == (found.held.id, "a", 1)
@@ -215,6 +219,6 @@
         except OSError as problem:
             assert "earlier" in str(problem)
         else:
-            raise AssertionError("a disk that failed is trusted")
-        store.keep([whole])  # everything anew is what makes it good again
+            raise AssertionError("a write after a failure was accepted")
+        store.keep([whole])  # only a full rewrite ends the failed state
         assert not store._has_failed
--- a/tests/record_disks.py
+++ b/tests/record_disks.py
@@ -1,4 +1,4 @@
-"""Plain asserts on the record's disks that refuse, and on messages and folders of the version before."""
+"""Replicated log: disks that fail, and messages and folders of the previous version."""
 
 from asyncio import Future, new_event_loop
 
@@ -28,31 +28,31 @@
 from sableford.consensus.raft_node import RaftNode, put
 from sableford.control.record_storage import RecordStorage, RecordWriter
 from sableford.simulation.consensus.growth import Group
-from tests.record_growth import level, value
+from tests.record_growth import is_caught_up, value
 
-# Disks that refuse
+# Failing disks
 
 
 def shows_a_write_after_one_that_failed_makes_nothing_good() -> None:
-    """Of two writes under way the first failed and the second did not: the voter acknowledged entries that
-    its disk lacked."""
-    core = RaftNode("b", 1, ["a", "b", "c"], StoredState("folder of b", 1), 0.0, 1)
-    core._base_voters = core._voters = dict.fromkeys("abc", "")
-    core.standing = Standing.VOTING
+    """Guards against a voter acknowledging entries that its disk lacks, when of two writes in flight the
+    first fails and the second succeeds."""
+    node = RaftNode("b", 1, ["a", "b", "c"], StoredState("folder of b", 1), 0.0, 1)
+    node._base_voters = node._voters = dict.fromkeys("abc", "")
+    node.standing = Standing.VOTING
     entries = [Entry(1, Kind.PUT, "a#1", at, put("k", b"%d" % at)) for at in (1, 2, 3)]
-    told = []
+    effects = []
     for at, entry in enumerate(entries):
-        told += core.heard(1.0, "a", 1, AppendRequest("id", 1, at, min(at, 1), 0, 1, 0, (entry,)))
-    numbers = [effect.number for effect in told if isinstance(effect, Persist)]
-    told = core.failed(2.0, "No space left on device")
+        effects += node.heard(1.0, "a", 1, AppendRequest("id", 1, at, min(at, 1), 0, 1, 0, (entry,)))
+    numbers = [effect.number for effect in effects if isinstance(effect, Persist)]
+    effects = node.failed(2.0, "No space left on device")
     for number in numbers[1:]:
-        told += core.stored(2.0, number)
-    assert core.standing is Standing.NO_DISK and core.durable == 0
-    assert not [one for one in told if isinstance(one, Send) and isinstance(one.message, AppendResponse)]
-    [whole] = core.rewrite()
-    assert core.rewrite() == []  # one at a time
-    core.stored(3.0, whole.number)
-    assert core.standing is Standing.VOTING and core.durable == 3
+        effects += node.stored(2.0, number)
+    assert node.standing is Standing.NO_DISK and node.durable == 0
+    assert not [one for one in effects if isinstance(one, Send) and isinstance(one.message, AppendResponse)]
+    [whole] = node.rewrite()
+    assert node.rewrite() == []  # one at a time
+    node.stored(3.0, whole.number)
+    assert node.standing is Standing.VOTING and node.durable == 3
 
 
 def shows_a_full_disk_is_given_a_snapshot_and_not_a_long_log_again_each_second() -> None:
@@ -61,24 +61,24 @@
     for number in range(18):
         assert group.agreed(value(number))
     late = next(name for name in group.names if name != leader.name)
-    core, member = group.cores[late], group.members[late]
-    assert sum(len(entry.data) for entry in core.entries) > 800_000
-    member.full = True
+    node, member = group.nodes[late], group.members[late]
+    assert sum(len(entry.data) for entry in node.entries) > 800_000
+    member.disk_full = True
     rewritten = []
-    rewrite = core.rewrite
-    core.rewrite = lambda: (told := rewrite(), rewritten.extend(told))[0]
+    rewrite = node.rewrite
+    node.rewrite = lambda: (effects := rewrite(), rewritten.extend(effects))[0]
     for number in range(100, 130):
         assert group.agreed(put("k", b"%d" % number))
     group.run(5000.0)
-    assert core.standing is Standing.NO_DISK and 4 <= len(rewritten) <= 9, len(rewritten)
-    size = sum(len(entry.data) for store in rewritten for deed in store.writes for entry in deed.entries)
+    assert node.standing is Standing.NO_DISK and 4 <= len(rewritten) <= 9, len(rewritten)
+    size = sum(len(entry.data) for store in rewritten for write in store.writes for entry in write.entries)
     assert size < 100_000, size
-    member.full = False
-    assert group.run(4000.0, lambda: core.commit == leader.commit and core.standing is Standing.VOTING)
+    member.disk_full = False
+    assert group.run(4000.0, lambda: node.commit == leader.commit and node.standing is Standing.VOTING)
 
 
-class File:
-    """A disk that fails where it is told to; each write is whole or not at all."""
+class ControlledDisk:
+    """A key-value disk whose writes complete or fail on demand; each write is atomic."""
 
     def __init__(self) -> None:
         self.loop = new_event_loop()
@@ -106,7 +106,7 @@
 
 
 def shows_entries_that_a_failed_write_did_not_remove_are_never_read_back() -> None:
-    file = File()
+    file = ControlledDisk()
     storage = RecordStorage([])
     file.write(storage.begin(["a"]))
     file.end()
@@ -120,14 +120,12 @@
     writer.keep(Persist(1, (HardState(3, ""), *(AppendToLog(at, entry(3, at)) for at in range(1, 11)))))
     file.end()
     writer.keep(Persist(2, (TruncateLog(7), AppendToLog(8, entry(4, 8)))))
-    writer.keep(
-        Persist(3, (AppendToLog(9, entry(4, 9)),))
-    )  # goes with the next write, and so with what failed
+    writer.keep(Persist(3, (AppendToLog(9, entry(4, 9)),)))  # batched with the next write, so it fails too
     file.end(problem=True)
     assert file.ended == [(1, True), (2, False)] and not file.writes
     assert file.opened().entries == tuple(entry(3, at) for at in range(1, 11))
     writer.keep(Persist(4, (HardState(5, ""),)))
-    assert not file.writes  # nothing but a whole writing is taken
+    assert not file.writes  # only a full rewrite is accepted
     kept = (*(entry(3, at) for at in range(1, 8)), entry(4, 8))
     writer.keep(Persist(5, (ReplaceLog(storage._meta.id, HardState(5, ""), None, 1, 0, kept),)))
     file.end()
@@ -137,7 +135,7 @@
 
 
 def shows_entries_behind_a_gap_count_as_lost_and_are_removed() -> None:
-    file = File()
+    file = ControlledDisk()
     storage = RecordStorage([])
     entries = [Entry(2, Kind.PUT, "a#1", at, b"x") for at in range(1, 7)]
     for key, data in [
@@ -152,13 +150,13 @@
         file.keys.pop(key, None) if data is None else file.keys.update({key: data})
     held = file.opened()
     assert [one.term for one in held.entries] == [2, 2, 2, 5] and held.lost == (2, 6)
-    core = RaftNode("a", 1, ["a", "b", "c"], StoredState("id", 2, first=40, entries=tuple(entries)), 0.0, 1)
-    assert core.last == 0 and core._lost_position == (2, 45)  # what they stand on is not there
-    assert any(isinstance(one, Persist) and isinstance(one.writes[0], ReplaceLog) for one in core.tick(1.0))
+    node = RaftNode("a", 1, ["a", "b", "c"], StoredState("id", 2, first=40, entries=tuple(entries)), 0.0, 1)
+    assert node.last == 0 and node._lost_position == (2, 45)  # the entries before them are missing
+    assert any(isinstance(one, Persist) and isinstance(one.writes[0], ReplaceLog) for one in node.tick(1.0))
     file.loop.close()
 
 
-# Two versions
+# Compatibility with the previous version
 
 
 class OldAppend(msgspec.Struct, array_like=True, frozen=True, tag=13):
@@ -191,15 +189,15 @@
 
 
 def shows_a_snapshot_comes_whole_from_and_to_the_version_before() -> None:
-    """It neither says how far an answer goes nor holds the snapshot that was begun."""
+    """The previous version neither sends `through` nor caches a snapshot whose transfer has begun."""
 
-    class Before(RaftNode):
+    class PreviousVersion(RaftNode):
         def _send_snapshot(self, now, sender, message):
             self._transport = DATAGRAMS
-            told = super()._send_snapshot(now, sender, message)
-            return [one._replace(message=msgspec.structs.replace(one.message, through=0)) for one in told]
+            effects = super()._send_snapshot(now, sender, message)
+            return [one._replace(message=msgspec.structs.replace(one.message, through=0)) for one in effects]
 
-    server = Before("a", 1, ["a"], StoredState("folder of a"), 0.0, 1)
+    server = PreviousVersion("a", 1, ["a"], StoredState("folder of a"), 0.0, 1)
     server.entries.append(Entry(1, Kind.PUT, "a#1", 1, put("k", b"x" * 100_000)))
     server._apply_committed(1)
     server._compact(0, 0)
@@ -217,9 +215,9 @@
 
 
 def shows_a_follower_of_the_version_before_that_is_behind_a_short_log_is_sent_the_snapshot() -> None:
-    """It asks for one only where it is a thousand entries behind, or has been sent a piece."""
+    """The previous version requests a snapshot only if a thousand entries behind, or after a first chunk."""
 
-    class Before(RaftNode):
+    class PreviousVersion(RaftNode):
         def _handle_append_request(self, now, sender, message):
             return super()._handle_append_request(now, sender, msgspec.structs.replace(message, first=0))
 
@@ -233,15 +231,15 @@
     group.kill(late)
     for number in range(60):
         assert group.agreed(value(number, 30_000))
-    group._make = Before
-    core = group.start(late)
-    assert leader.first > core.last + 1
-    assert group.run(5000.0, lambda: level(group, core)), (core.commit, leader.commit)
+    group._make_node = PreviousVersion
+    node = group.start(late)
+    assert leader.first > node.last + 1
+    assert group.run(5000.0, lambda: is_caught_up(group, node)), (node.commit, leader.commit)
 
 
-# Both folders as the version before this one (b314cb7) wrote them, with the same record: a snapshot up to
+# Both forms of storage as the previous version (b314cb7) wrote them, with the same state: a snapshot up to
 # entry 3, entries 3 to 5, and a vote for c in term 3.
-LANDED_FILE = {
+PREVIOUS_FILE = {
     "72650000000000000003": "950101a361233501c40e93a6636f6e666967c4036f6e65ff",
     "72650000000000000004": "950201a362233601c40e93a6636f6e666967c40374776f03",
     "72650000000000000005": "950201a362233602c40c93a6726f73746572c40172ff",
@@ -251,7 +249,7 @@
     "726d": "87a26964b030303031303230333034303530363037a47465726d03a4766f7465a163a5666972737403a6626566"
     "6f726501a46c6f7374c0a56e616d657393a161a162a163",
 }
-LANDED_FOLDER = {
+PREVIOUS_FOLDER = {
     "image-3": "a5725c000000311d526785a46c61737403a47465726d01a6766f7465727383a161b03030303130323033303430"
     "3530363037a162a469642d62a163a469642d63a676616c75657381a6636f6e66696792c4036f6e6503a574616b"
     "656e81a361233581019203c3",
@@ -264,22 +262,22 @@
 
 
 def shows_folders_of_the_version_before_are_read() -> None:
-    file = {bytes.fromhex(key): bytes.fromhex(data) for key, data in LANDED_FILE.items()}
-    folder = {name: bytes.fromhex(data) for name, data in LANDED_FOLDER.items()}
+    file = {bytes.fromhex(key): bytes.fromhex(data) for key, data in PREVIOUS_FILE.items()}
+    folder = {name: bytes.fromhex(data) for name, data in PREVIOUS_FOLDER.items()}
     storage = RecordStorage(list(file.items()))
     assert storage.names == ("a", "b", "c") and not storage.fresh
     for held in (storage.held, recover("a", folder, "new").held):
         assert (held.id, held.term, held.vote, held.lost) == ("0001020304050607", 3, "c", None)
         assert (held.first, held.before, [entry.term for entry in held.entries]) == (3, 1, [1, 2, 2])
-        core = RaftNode("a", 9, ["a", "b", "c"], held, 0.0, 1)
-        assert core.standing is Standing.ASKING and (core.commit, core.last) == (3, 5)
-        assert core.state_machine.values["config"].data == b"one" and core.voters()["b"] == "id-b"
-        core._apply_committed(5)
-        assert core.state_machine.values["config"].data == b"two" and core.state_machine.known("a#5", 1) == (
+        node = RaftNode("a", 9, ["a", "b", "c"], held, 0.0, 1)
+        assert node.standing is Standing.ASKING and (node.commit, node.last) == (3, 5)
+        assert node.state_machine.values["config"].data == b"one" and node.voters()["b"] == "id-b"
+        node._apply_committed(5)
+        assert node.state_machine.values["config"].data == b"two" and node.state_machine.known("a#5", 1) == (
             3,
             True,
         )
-    # What this version writes to it next leaves a file that reads the same.
+    # Writes of this version leave a file that can be read in the same way.
     for key, data in storage.puts([TruncateLog(4), HardState(4, "")], 1):
         file.pop(key, None) if data is None else file.update({key: data})
     again = RecordStorage(list(file.items())).held
--- a/tests/record_growth.py
+++ b/tests/record_growth.py
@@ -1,5 +1,4 @@
-"""Plain asserts on the record after hundreds of changes: what it keeps, who catches up and how soon, and who
-may lead at the end of a long day, in simulated time."""
+"""Replicated log after hundreds of changes, in simulated time: size limits, catching up, and leadership."""
 
 import msgspec
 
@@ -25,11 +24,11 @@
     return put("config", b"%d " % number + b"x" * size)
 
 
-def level(group: Group, core: RaftNode) -> bool:
-    return core.commit >= group.led().commit
+def is_caught_up(group: Group, node: RaftNode) -> bool:
+    return node.commit >= group.led().commit
 
 
-# What is kept
+# Size limits
 
 
 def shows_three_hundred_changes_of_a_large_configuration_stay_small_and_a_wiped_member_catches_up() -> None:
@@ -48,12 +47,12 @@
             machine.apply(index, Entry(1, Kind.PUT, f"s1#{birth}", number, put("k", b"v")))
     assert sum(map(len, machine.taken.values())) <= MAX_REMEMBERED_NUMBERS
     assert len(msgspec.msgpack.encode(machine.snapshot({}))) < 300_000
-    # Whoever offered last is known still; twice the numbers that all voters may have under way.
+    # The latest authors are remembered: twice the numbers that all voters may have in flight.
     assert machine.known("s1#299", 199) == (index, True) and machine.known("s1#250", 1)
 
 
 def shows_reads_do_not_push_an_order_out_of_what_is_remembered() -> None:
-    """An order that waited while its process read a thousand times was answered as taken by another."""
+    """Reads used proposal numbers, so a proposal that waited during a thousand reads counted as applied."""
     group = Group("abc")
     leader = group.led()
     group.trial.cut = lambda start, end: start == leader.name
@@ -73,16 +72,16 @@
 # Catching up
 
 
-class Old(RaftNode):
-    """As before: it has a snapshot only of its newest state, for whoever has fetched half of another."""
+class ServesNewestOnly(RaftNode):
+    """The earlier behaviour: only the newest snapshot is served, so a half-finished transfer starts over."""
 
     def _send_snapshot(self, now, sender, message):
         self._snapshot_cache.clear()
         return super()._send_snapshot(now, sender, message)
 
 
-def fetched(make: type[RaftNode]) -> bool:
-    """Whether a learner gets on with a snapshot of 400 kB while a new one is made each third round."""
+def completes_snapshot(make: type[RaftNode]) -> bool:
+    """Whether a learner completes a snapshot of 400 kB while a new one is made in every third round."""
     held = StoredState("folder of a")
     server = make("a", 1, ["a"], held, 0.0, 1)
     learner = RaftNode("b", 1, ["a"], StoredState("folder of b"), 0.0, 1, newcomer=True)
@@ -112,30 +111,30 @@
 
 
 def shows_a_snapshot_that_was_begun_is_served_to_its_end_while_newer_ones_are_made() -> None:
-    assert fetched(RaftNode)
-    assert not fetched(Old)
+    assert completes_snapshot(RaftNode)
+    assert not completes_snapshot(ServesNewestOnly)
 
 
 def shows_a_voter_behind_a_short_log_fetches_the_snapshot() -> None:
-    """Fewer than a thousand entries behind, and the leader had none of them any more: it stayed behind."""
+    """A voter fewer than a thousand entries behind stayed behind when the leader's log began after them."""
     group = Group("abc")
     leader = group.led()
     late = next(name for name in group.names if name != leader.name)
     group.kill(late)
     for number in range(60):
         assert group.agreed(value(number))
-    assert group.led().first > group.cores[late].last + 1  # it is not in the leader's log
-    core = group.start(late)
-    assert group.run(2000.0, lambda: core.commit >= leader.commit), (core.commit, leader.commit)
-    assert core.snapshot is not None and core.standing is Standing.VOTING
+    assert group.led().first > group.nodes[late].last + 1  # the next entry is not in the leader's log
+    node = group.start(late)
+    assert group.run(2000.0, lambda: node.commit >= leader.commit), (node.commit, leader.commit)
+    assert node.snapshot is not None and node.standing is Standing.VOTING
 
 
 def voter(held: StoredState) -> RaftNode:
-    """One of three that votes, and has heard of no leader yet."""
-    core = RaftNode("b", 1, ["a", "b", "c"], held, 0.0, 1)
-    core._base_voters = core._voters = {"a": "id-a", "b": held.id, "c": "id-c"}
-    core.standing = Standing.VOTING
-    return core
+    """One of three voters, without a leader so far."""
+    node = RaftNode("b", 1, ["a", "b", "c"], held, 0.0, 1)
+    node._base_voters = node._voters = {"a": "id-a", "b": held.id, "c": "id-c"}
+    node.standing = Standing.VOTING
+    return node
 
 
 def fetches(effects: list) -> list[FetchRequest]:
@@ -143,26 +142,30 @@
 
 
 def shows_a_voter_whose_last_entry_is_not_the_one_before_the_leaders_log_fetches_the_snapshot() -> None:
-    """It held an entry of that number from an earlier leader, and the right one was only in a snapshot."""
+    """The voter's last entry has the right index but is an earlier leader's; the committed one is only in a
+    snapshot."""
     entries = tuple(Entry(1, Kind.NOTHING) for _ in range(12))
     for first, prev, behind in ((14, 13, True), (13, 12, True), (12, 12, False)):
-        core = voter(StoredState("id-b", 2, entries=entries))
-        told = core.heard(1.0, "a", 1, AppendRequest("id-a", 3, prev, 2, 80, 1, 80, (), first, "id-b"))
-        assert bool(fetches(told)) is behind, first
+        node = voter(StoredState("id-b", 2, entries=entries))
+        effects = node.heard(1.0, "a", 1, AppendRequest("id-a", 3, prev, 2, 80, 1, 80, (), first, "id-b"))
+        assert bool(fetches(effects)) is behind, first
 
 
 def shows_a_replaced_voter_goes_on_from_a_snapshot_that_nobody_has_any_more() -> None:
-    """It went on asking for the rest of it, and heeded no entries."""
-    core = voter(StoredState("id-b", 2))
-    beat = AppendRequest("id-a", 3, 80, 3, 80, 1, 80, (), 1)  # of a leader that does not name it
-    assert fetches(core.heard(1.0, "a", 1, beat)) == [FetchRequest("id-b", 0)]
-    core.heard(2.0, "a", 1, SnapshotChunk(40, 0, 90_000, b"x" * 900, 14_400))
+    """The voter kept requesting the rest of the snapshot and ignored entries."""
+    node = voter(StoredState("id-b", 2))
+    # From a leader that does not count it as a voter.
+    heartbeat = AppendRequest("id-a", 3, 80, 3, 80, 1, 80, (), 1)
+    assert fetches(node.heard(1.0, "a", 1, heartbeat)) == [FetchRequest("id-b", 0)]
+    node.heard(2.0, "a", 1, SnapshotChunk(40, 0, 90_000, b"x" * 900, 14_400))
     for turn in range(1, 100):
         now = 100.0 * turn
-        asked = [one.to for one in [*core.heard(now, "a", 1, beat), *core.tick(now)] if isinstance(one, Send)]
+        asked = [
+            one.to for one in [*node.heard(now, "a", 1, heartbeat), *node.tick(now)] if isinstance(one, Send)
+        ]
         for to in asked if turn > 10 else ():
-            core.heard(now, to, 1, FetchResponse(3, 1, 2, (Entry(1, 0), Entry(1, 0)), "a", 2))
-    assert core.commit == 2 and core._fetching is None
+            node.heard(now, to, 1, FetchResponse(3, 1, 2, (Entry(1, 0), Entry(1, 0)), "a", 2))
+    assert node.commit == 2 and node._fetching is None
 
 
 def shows_a_fetched_snapshot_is_told_to_its_host_and_serves_a_read_that_waited() -> None:
@@ -172,28 +175,28 @@
     group.kill(late)
     for number in range(60):
         assert group.agreed(value(number))
-    leader._compact(0, 0)  # nothing stands behind it that would be settled later
-    core = group.start(late)
-    told = []
+    leader._compact(0, 0)  # no entries after it, which would be committed later
+    node = group.start(late)
+    effects = []
     seen = group.trial.seen
-    group.trial.seen = lambda name, effect: (told.append((name, effect)), seen(name, effect))
-    core._handle_snapshot_chunk = lambda now, sender, message: []  # the snapshot is late
-    assert group.run(2000.0, lambda: core.leader != "")
+    group.trial.seen = lambda name, effect: (effects.append((name, effect)), seen(name, effect))
+    node._handle_snapshot_chunk = lambda now, sender, message: []  # the snapshot is delayed
+    assert group.run(2000.0, lambda: node.leader != "")
     number = group.propose(late, None)
-    assert group.run(2000.0, lambda: core._proposals[number].need > 0)
-    del core._handle_snapshot_chunk
+    assert group.run(2000.0, lambda: node._proposals[number].need > 0)
+    del node._handle_snapshot_chunk
     assert group.run(2000.0, lambda: number in group.members[late].answers)
-    assert any(name == late and isinstance(effect, SnapshotInstalled) for name, effect in told)
-    assert core.state_machine.values["config"].data.startswith(b"59 ")
+    assert any(name == late and isinstance(effect, SnapshotInstalled) for name, effect in effects)
+    assert node.state_machine.values["config"].data.startswith(b"59 ")
 
 
-def in_flight(leader: RaftNode, name: str) -> int:
+def bytes_in_flight(leader: RaftNode, name: str) -> int:
     one = leader._followers[name]
     return sum(len(leader.at(index).data) for index in range(max(one.match + 1, leader.first), one.next))
 
 
 def shows_a_follower_far_behind_is_sent_no_more_at_once_than_its_way_carries() -> None:
-    """Each answer let eight more messages out: 25 MB of large entries waited, the link was given up."""
+    """Each response let eight more messages out: 25 MB of large entries queued up and the link was closed."""
     group = Group("abc")
     leader = group.led()
     late = next(name for name in group.names if name != leader.name)
@@ -203,43 +206,43 @@
     group.run(1000.0)
     before = group.trial.bytes[leader.name]
     group.run(5000.0)
-    # To one that does not answer only heartbeats go.
+    # A follower that does not respond gets only heartbeats.
     assert group.trial.bytes[leader.name] - before < 100_000, group.trial.bytes[leader.name] - before
-    assert leader.first <= group.cores[late].last + 1  # all that it lacks can be sent
+    assert leader.first <= group.nodes[late].last + 1  # the leader's log still holds all that it lacks
     group.trial.cut = lambda start, end: False
     most = 0
     for _ in range(400):
         group.run(5.0)
-        most = max(most, in_flight(leader, late))
-    assert most <= STREAMS.window_bytes and group.cores[late].commit == leader.commit, most
+        most = max(most, bytes_in_flight(leader, late))
+    assert most <= STREAMS.window_bytes and group.nodes[late].commit == leader.commit, most
 
 
 def shows_a_learner_fetches_on_as_soon_as_the_last_piece_has_come() -> None:
-    """A megabyte came in windows of 14 kB, one each 100 ms: 7 s, past what an order may take."""
+    """A megabyte came in windows of 14 kB, one per 100 ms: 7 s, longer than an order may take."""
     for transport, most in ((STREAMS, 1000.0), (DATAGRAMS, 3000.0)):
         group = Group("abc", transport)
         for number in range(12):
             assert group.agreed(value(number, 30_000 if transport is DATAGRAMS else 1_000_000))
-        for core in group.cores.values():
-            core._compact(0, 0)
+        for node in group.nodes.values():
+            node._compact(0, 0)
         group.run(500.0)
         group.names.append("d")
-        core = group.start("d", newcomer=True)
+        node = group.start("d", newcomer=True)
         leader = group.led()
-        assert group.run(most, lambda group=group, core=core: level(group, core)), (
-            core.commit,
+        assert group.run(most, lambda group=group, node=node: is_caught_up(group, node)), (
+            node.commit,
             leader.commit,
         )
 
 
-# At the end of a long day
+# Leadership after many changes
 
 
 def shows_after_a_long_day_only_a_member_with_the_newest_state_leads() -> None:
-    """Restarted, wiped and set back in turn, with the others' leaders lost while it comes back."""
+    """Members are restarted, wiped and set back in turn, and the leader resigns while each comes back."""
     group = Group("abc")
     leader = group.led()
-    old = {name: dict(group.members[name].file) for name in group.names}
+    old = {name: dict(group.members[name].stored) for name in group.names}
     newest = -1
     for number in range(120):
         newest = number
@@ -251,16 +254,17 @@
         newest += 1
         assert group.agreed(value(newest))
         if turn % 3 == 1:
-            group.members[back].file = dict(old[back])  # a copy of its disk from the morning
-        core = group.start(back, wiped=turn % 3 == 2)
+            group.members[back].stored = dict(old[back])  # an old copy of its disk
+        node = group.start(back, wiped=turn % 3 == 2)
         group.run(20.0 * turn)
-        group.cores[leader.name].resign(group.trial.now)
+        group.nodes[leader.name].resign(group.trial.now)
         led = group.led()
         number = group.propose(led.name, None)
         assert group.run(5000.0, lambda led=led, number=number: number in group.members[led.name].answers)
         assert led.state_machine.values["config"].data.startswith(b"%d " % newest), (turn, led.name)
         assert group.run(
-            10_000.0, lambda core=core: group.led().voters().get(core.name) == core.id and level(group, core)
+            10_000.0,
+            lambda node=node: group.led().voters().get(node.name) == node.id and is_caught_up(group, node),
         )
 
 
@@ -269,5 +273,5 @@
     for seed in range(300, 316):
         walk = Walk(seed, voters=3 if seed % 3 else 5, value_bytes=12_000)
         walk.run(30)
-        snapshots += sum(core.snapshot is not None for core in walk.trial.cores.values())
+        snapshots += sum(node.snapshot is not None for node in walk.trial.cores.values())
     assert snapshots > 20, snapshots
--- a/tests/record_voters.py
+++ b/tests/record_voters.py
@@ -1,5 +1,5 @@
-"""Plain asserts on changes of the record's voters, in simulated time: what each step bears, and walks in
-which voters are replaced at random."""
+"""Membership changes of the replicated log, in simulated time: failures that each step tolerates, and walks
+in which voters are replaced at random."""
 
 from sableford.consensus.constants import ELECTION_TIMEOUT
 from sableford.consensus.effects import Persist, Standing
@@ -8,20 +8,20 @@
 from sableford.consensus.raft_state import learner
 from sableford.simulation.consensus.growth import Group
 from sableford.simulation.consensus.walk import Walk
-from tests.record_growth import level, value
+from tests.record_growth import is_caught_up, value
 
-# Who votes
+# Voters
 
 
-def bearable(leader: RaftNode, group: Group) -> int:
-    """How many more losses the voters bear: those who live less a majority."""
+def tolerated_failures(leader: RaftNode, group: Group) -> int:
+    """How many more failures the voters tolerate: running voters less a majority."""
     voters = leader.voters()
     live = [name for name in voters if name not in group.trial.dead]
     return len(live) - (len(voters) // 2 + 1)
 
 
 def replaced(living: bool, lose_newcomer: bool = False) -> tuple[Group, list[int], list[list[str]]]:
-    """One of three voters is to go, a fourth member is to vote: the losses borne at each set of voters."""
+    """Replaces one of three voters by a fourth member: failures tolerated with each set of voters."""
     group = Group("abc")
     group.led()
     group.agreed(value(0))
@@ -33,24 +33,24 @@
     group.names.append("d")
     group.start("d", newcomer=True)
     group.run(1000.0)
-    bears, sets = [bearable(leader, group)], [sorted(leader.voters())]
+    tolerated, sets = [tolerated_failures(leader, group)], [sorted(leader.voters())]
     group.want(sorted({*"abcd"} - {gone}))
     for _ in range(1000):
         group.run(5.0)
         if sorted(leader.voters()) != sets[-1]:
             sets.append(sorted(leader.voters()))
-            bears.append(bearable(leader, group))
+            tolerated.append(tolerated_failures(leader, group))
             if lose_newcomer and len(sets) == 2:
                 group.kill("d")
-    return group, bears, sets
+    return group, tolerated, sets
 
 
 def shows_no_step_of_a_replacement_bears_fewer_losses_than_before() -> None:
-    group, bears, sets = replaced(living=True)
+    group, tolerated, sets = replaced(living=True)
     assert [len(one) for one in sets] == [3, 4, 3] and "d" in sets[-1], sets
-    assert min(bears) == bears[0] == 1, bears
-    group, bears, sets = replaced(living=False)
-    assert [len(one) for one in sets] == [3, 2, 3] and bears == [0, 0, 1], (sets, bears)
+    assert min(tolerated) == tolerated[0] == 1, tolerated
+    group, tolerated, sets = replaced(living=False)
+    assert [len(one) for one in sets] == [3, 2, 3] and tolerated == [0, 0, 1], (sets, tolerated)
 
 
 def shows_a_newcomer_lost_while_it_takes_a_dead_voters_place_stops_nothing() -> None:
@@ -61,8 +61,8 @@
 
 
 def shows_a_newcomer_counts_for_the_entry_that_names_it() -> None:
-    """The leaving voter died once the newcomer's entry stood in the leader's log: nothing was agreed on any
-    more, since the newcomer took entries only once it read that it votes."""
+    """If the leaving voter dies once the leader's log names the newcomer, entries must still be committed:
+    the newcomer used to accept entries only after it had applied the one that names it."""
     group = Group("abc")
     leader = group.led()
     group.agreed(value(0))
@@ -90,8 +90,8 @@
 
 
 def shows_a_newcomer_is_added_while_entries_are_agreed_on_all_the_time() -> None:
-    """Each of its fetches, one a heartbeat, brought all there was; yet by the next heartbeat there was more,
-    so that it counted as caught up only where no entry came for as long: after up to a minute."""
+    """Each fetch, one per heartbeat, brought all entries, but by the next heartbeat there were more. The
+    newcomer counted as caught up only once no entry came between two fetches: after up to a minute."""
     group = Group("abc")
     leader, has = group.led(), 0
     group.run(300.0)
@@ -123,30 +123,30 @@
 
 
 def shows_a_removed_voter_learns_of_it_and_goes_on_reading() -> None:
-    """It stood for ever among voters that did not know it, and what it held grew old."""
+    """A removed voter used to start elections for ever among voters that ignored it, with outdated state."""
     group, _, _ = replaced(living=True)
     gone = next(name for name in "abc" if name not in group.led().voters())
     assert group.agreed(value(7))
-    core = group.cores[gone]
-    assert group.run(3000.0, lambda: core.state_machine.values["config"].data.startswith(b"7 "))
-    assert gone not in core.voters()
+    node = group.nodes[gone]
+    assert group.run(3000.0, lambda: node.state_machine.values["config"].data.startswith(b"7 "))
+    assert gone not in node.voters()
 
 
 def shows_a_replaced_voter_that_restarts_keeps_what_it_holds_and_votes_no_more() -> None:
-    """At the first answer from one that had just started too it dropped all that it held, and by the names in
-    its file it took itself for a voter, with an empty log."""
+    """At the first answer from another process that had just started it discarded its state, and by the
+    configured names took itself for a voter with an empty log."""
     group, _, _ = replaced(living=True)
     gone = next(name for name in "abc" if name not in group.led().voters())
-    assert group.run(5000.0, lambda: gone not in group.cores[gone].voters())
+    assert group.run(5000.0, lambda: gone not in group.nodes[gone].voters())
     group.kill(gone)
-    core = group.start(gone)
-    last = core.last
-    assert core.standing is Standing.LEARNER and last > 0
-    group.trial.do(gone, core.heard(group.trial.now, "d", 1, FetchResponse(0, 1, 0)))
+    node = group.start(gone)
+    last = node.last
+    assert node.standing is Standing.LEARNER and last > 0
+    group.trial.do(gone, node.heard(group.trial.now, "d", 1, FetchResponse(0, 1, 0)))
     for _ in range(400):
         group.run(5.0)
-        assert core.standing is Standing.LEARNER and core.last >= last
-    assert level(group, core)
+        assert node.standing is Standing.LEARNER and node.last >= last
+    assert is_caught_up(group, node)
 
 
 def shows_voters_replaced_one_after_the_other_under_changes_never_lose_one() -> None:
@@ -171,8 +171,8 @@
 
 
 def shows_a_restarted_voter_is_not_made_a_stranger_by_a_member_that_is_behind() -> None:
-    """A new voter restarted, and asked a member that had slept since before it was voted in: that one knew
-    other voters, and the new one gave up its folder. Two such voters, and the majority was gone."""
+    """A new voter restarted and asked a member that had been stopped since before it was added. That member
+    knew other voters, and the new voter discarded its folder; two such voters lost the majority."""
     group = Group("abc")
     leader = group.led()
     asleep, gone = (name for name in "abc" if name != leader.name)
@@ -181,25 +181,25 @@
         group.start(new, newcomer=True)
     group.want(sorted({leader.name, gone, "d"}))
     assert group.run(5000.0, lambda: set(leader.voters()) == {leader.name, gone, "d"})
-    assert group.run(5000.0, lambda: asleep not in group.cores[asleep].voters())
+    assert group.run(5000.0, lambda: asleep not in group.nodes[asleep].voters())
     group.trial.stop(asleep)
     group.kill(gone)
     group.want(sorted({leader.name, "d", "e"}))
     assert group.run(5000.0, lambda: set(leader.voters()) == {leader.name, "d", "e"})
-    assert group.agreed(value(1)) and group.run(500.0, lambda: level(group, group.cores["e"]))
+    assert group.agreed(value(1)) and group.run(500.0, lambda: is_caught_up(group, group.nodes["e"]))
     group.kill("e")
-    group.trial.cut = lambda start, end: leader.name in (start, end)  # it can't say so
+    group.trial.cut = lambda start, end: leader.name in (start, end)  # the leader can't tell it the voters
     group.trial.go_on(asleep)
-    id = group.cores["e"].id
-    core = group.start("e")
+    id = group.nodes["e"].id
+    node = group.start("e")
     group.run(3000.0)
-    assert core.standing is Standing.VOTING and core.id == id
+    assert node.standing is Standing.VOTING and node.id == id
     assert group.agreed(value(2))
 
 
 def shows_many_reads_at_once_cost_few_rounds_and_no_writes() -> None:
-    """Each read had a round of heartbeats of its own, and each heartbeat a follower's write: hundreds of
-    reads under way filled the disks' queues faster than they emptied, and nothing was agreed on any more."""
+    """Each read caused a heartbeat round of its own, and each heartbeat a write at each follower: hundreds of
+    reads in flight filled the disk queues faster than they drained, and nothing was committed any more."""
     group = Group("abc")
     leader = group.led()
     assert group.agreed(value(0))
@@ -216,17 +216,17 @@
     assert leader._round - rounds <= 6 and len(stores) == 3, (leader._round - rounds, len(stores))
 
 
-# Voters replaced at random
+# Random replacement of voters
 
 
 class ReplacingWalk(Walk):
-    """A walk in which other members are wanted as voters again and again."""
+    """A walk in which the wanted voters change again and again."""
 
     def step(self) -> None:
-        if self.draw.random() < 0.4:
-            wanted = tuple(self.draw.sample(self.names, len(self.voters)))
-            for core in self.trial.cores.values():
-                core.wanted = wanted
+        if self.random.random() < 0.4:
+            wanted = tuple(self.random.sample(self.names, len(self.voters)))
+            for node in self.trial.cores.values():
+                node.wanted = wanted
         super().step()
 
     def start(self, name: str) -> None:
@@ -235,15 +235,15 @@
         self.trial.cores[name].wanted = next(iter(self.trial.cores.values())).wanted
 
 
-class TwoAtOnce(RaftNode):
-    """Changes voters again before the last change is agreed on."""
+class ChangesBeforeCommit(RaftNode):
+    """Changes voters again before the previous change is committed."""
 
     def stable_voters(self):
         return dict(self._voters)
 
 
-class Forgetful(RaftNode):
-    """Acknowledges entries as a joining voter and drops them for what it has fetched."""
+class DropsAcknowledged(RaftNode):
+    """Drops entries that it has acknowledged as a joining voter when it fetches committed ones."""
 
     def _append_fetched(self, message):
         del self.entries[max(0, self.commit + 1 - self.first) :]
@@ -253,18 +253,20 @@
 def shows_walks_in_which_voters_are_replaced_lose_nothing_and_end_in_agreement() -> None:
     changes = 0
     for seed in range(400, 440):
-        walk = ReplacingWalk(seed, voters=3 if seed % 3 else 5, learners=3, lies=())
+        walk = ReplacingWalk(seed, voters=3 if seed % 3 else 5, learners=3, disk_faults=())
         walk.run(40)
-        changes += sum(entry.kind == Kind.VOTERS for entry in walk.agreed.values())
+        changes += sum(entry.kind == Kind.VOTERS for entry in walk.committed.values())
     assert changes > 200, changes
 
 
 def shows_planted_mistakes_in_changing_voters_are_found() -> None:
-    for make in (TwoAtOnce, Forgetful):
+    for make in (ChangesBeforeCommit, DropsAcknowledged):
         for seed in range(400, 520):
             try:
-                ReplacingWalk(seed, voters=3 if seed % 3 else 5, learners=3, lies=(), make=make).run(40)
-            except AssertionError:  # of the walk, or of the record itself
+                ReplacingWalk(
+                    seed, voters=3 if seed % 3 else 5, learners=3, disk_faults=(), make_node=make
+                ).run(40)
+            except AssertionError:  # raised by the walk, or by the node itself
                 break
         else:
             raise AssertionError(f"{make.__name__} was not found")
