--- a/sableford/consensus/constants.py
+++ b/sableford/consensus/constants.py
@@ -43,8 +43,8 @@
 MAX_ENTRIES_IN_FLIGHT = 512  # entries in flight to a follower
 
 UNKNOWN = "?"  # a voter's id as seen by a process that does not know the voters' ids
-MOVED = "the key has moved on"
-FORGOTTEN = "it was offered so long ago that it is not known what came of it"
+KEY_CHANGED = "the key has moved on"
+OUTCOME_FORGOTTEN = "it was offered so long ago that it is not known what came of it"
 
 
 class Transport(NamedTuple):
--- a/sableford/consensus/effects.py
+++ b/sableford/consensus/effects.py
@@ -20,14 +20,8 @@
 
 
 VOTING_STANDINGS = {Standing.VOTING}
-
-
-ACKNOWLEDGING_STANDINGS = {
-    Standing.VOTING,
-    Standing.INCOMPLETE,
-    Standing.NEW,
-    Standing.ASKING,
-}  # entries on its disk count towards a majority
+# Entries on the disk of such a process count towards a majority.
+ACKNOWLEDGING_STANDINGS = {Standing.VOTING, Standing.INCOMPLETE, Standing.NEW, Standing.ASKING}
 
 
 class StoredState(NamedTuple):
@@ -52,7 +46,7 @@
 
 
 class Persist(NamedTuple):
-    """Writes to make durable, in this order, before `stored(number)` is called."""
+    """Writes to make durable, in this order, before `handle_persisted(number)` is called."""
 
     number: int
     writes: tuple
@@ -78,7 +72,7 @@
     """Replaces the whole log: after a change of id, a snapshot, or a disk failure."""
 
     id: str
-    meta: HardState
+    hard_state: HardState
     snapshot: Snapshot | None
     first: int
     before: int
@@ -90,17 +84,17 @@
     """The outcome of a proposal or read of this process: its index, or why it was rejected."""
 
     number: int
-    yes: bool
+    accepted: bool
     index: int
-    why: str
+    reason: str
 
 
 class Committed(NamedTuple):
-    """An entry was committed and applied here. `held`: whether it had an effect."""
+    """An entry was committed and applied here. `effective`: whether it had an effect."""
 
     index: int
     entry: Entry
-    held: bool
+    effective: bool
 
 
 class SnapshotInstalled(NamedTuple):
@@ -113,7 +107,7 @@
     """An event for the operator's log."""
 
     event: str
-    facts: dict
+    fields: dict
 
 
 Effect = Send | Persist | ProposalResult | Committed | SnapshotInstalled | LogEvent
@@ -126,7 +120,7 @@
     term: int
 
 
-class OwnVoteCounts(NamedTuple):
+class OwnVoteDurable(NamedTuple):
     """This process's own vote is durable and may be counted in the election of `term`."""
 
     term: int
--- a/sableford/consensus/elections.py
+++ b/sableford/consensus/elections.py
@@ -3,7 +3,7 @@
 """
 
 from sableford.consensus.constants import ELECTION_TIMEOUT, HEARTBEAT, LEADERLESS_FETCH_DELAY
-from sableford.consensus.effects import VOTING_STANDINGS, Effect, HardState, LogEvent, OwnVoteCounts, Send
+from sableford.consensus.effects import VOTING_STANDINGS, Effect, HardState, LogEvent, OwnVoteDurable, Send
 from sableford.consensus.messages import Entry, Kind, VoteRequest, VoteResponse
 from sableford.consensus.raft_state import Follower, RaftState
 
@@ -11,9 +11,9 @@
 class Elections(RaftState):
     """Starts elections, answers vote requests and changes between leader and follower."""
 
-    def over(self, now: float, name: str) -> None:
+    def handle_process_ended(self, now: float, name: str) -> None:
         """The process of that name is known to have ended: if it led, an election starts soon."""
-        if name == self.leader and not self.leads:
+        if name == self.leader and not self.is_leader:
             self.leader, self._leader_heard_at = "", -1e12
             self._election_due_at = min(self._election_due_at, now + HEARTBEAT * self._random.random())
             self.due = min(self.due, self._election_due_at)
@@ -41,46 +41,52 @@
             return []
         # While a leader is heard, votes are refused: otherwise a candidate that can send but not receive
         # would depose it again and again.
-        led = self.leads or (self.leader and now - self._leader_heard_at < ELECTION_TIMEOUT - HEARTBEAT)
-        new = (message.last_term, message.last) >= (self.term_at(self.last), self.last)
-        if message.pre:
-            yes = message.term > self.term and new and not led
-            return [Send(sender, VoteResponse(self.id, message.term if yes else self.term, yes, True))]
+        has_leader = self.is_leader or (
+            self.leader and now - self._leader_heard_at < ELECTION_TIMEOUT - HEARTBEAT
+        )
+        is_up_to_date = (message.last_term, message.last) >= (self.term_at(self.last), self.last)
+        if message.is_pre_vote:
+            granted = message.term > self.term and is_up_to_date and not has_leader
+            return [
+                Send(sender, VoteResponse(self.id, message.term if granted else self.term, granted, True))
+            ]
         out: list[Effect] = []
-        if led and message.term > self.term:
+        if has_leader and message.term > self.term:
             return [Send(sender, VoteResponse(self.id, self.term, False, False))]
         if message.term > self.term:
             out += self._become_follower(now, message.term, "")
         # A candidate persists a term before it requests votes in it, so its folder holds at least that.
         self._note_progress(sender, message.id, message.term, 0)
-        yes = message.term == self.term and new and self.vote in ("", sender)
-        if yes:
+        granted = message.term == self.term and is_up_to_date and self.vote in ("", sender)
+        if granted:
             self.vote = sender
             self._election_due_at = self._election_deadline(now)
-        answer = Send(sender, VoteResponse(self.id, self.term, yes, False, self._unsupported_ms(now)))
-        return out + self._persist(HardState(self.term, self.vote), then=[answer]) if yes else [*out, answer]
+        answer = Send(sender, VoteResponse(self.id, self.term, granted, False, self._unsupported_ms(now)))
+        return (
+            out + self._persist(HardState(self.term, self.vote), then=[answer]) if granted else [*out, answer]
+        )
 
     def _handle_vote_response(self, now: float, sender: str, message: VoteResponse) -> list[Effect]:
         if not self._is_voter(sender, message.id):
             return []
-        if message.yes and not message.pre:
+        if message.granted and not message.is_pre_vote:
             self._note_progress(sender, message.id, message.term, 0)
-            self._support_ended_at[sender] = now - message.quiet_ms
-        if message.term > self.term + (message.pre and message.yes):
+            self._support_ended_at[sender] = now - message.unsupported_ms
+        if message.term > self.term + (message.is_pre_vote and message.granted):
             return self._become_follower(now, message.term, "")
-        if self.leads or not self._votes or message.pre != self._in_pre_vote:
+        if self.is_leader or not self._votes or message.is_pre_vote != self._in_pre_vote:
             return []
-        if message.term != self.term + message.pre and message.yes:
+        if message.term != self.term + message.is_pre_vote and message.granted:
             return []
-        self._votes[sender] = message.yes
+        self._votes[sender] = message.granted
         return self._count_votes(now)
 
     def _unsupported_ms(self, now: float) -> float:
         """Milliseconds for which no leader can have counted on a response of this process."""
-        return 0.0 if self.leads else max(0.0, now - self._last_support_at)
+        return 0.0 if self.is_leader else max(0.0, now - self._last_support_at)
 
     def _count_votes(self, now: float) -> list[Effect]:
-        if not self._majority(name for name, yes in self._votes.items() if yes):
+        if not self._majority(name for name, granted in self._votes.items() if granted):
             return []
         if self._in_pre_vote:
             self._in_pre_vote = False
@@ -91,7 +97,7 @@
             # The own vote must be durable before it counts and before votes are requested.
             return self._persist(
                 HardState(self.term, self.name),
-                then=[*self._request_votes(message), OwnVoteCounts(self.term)],
+                then=[*self._request_votes(message), OwnVoteDurable(self.term)],
             )
         return self._become_leader(now)
 
@@ -100,11 +106,11 @@
         # leader, so the voters' reports bound the time at which that can have been.
         voted = [
             self._support_ended_at.get(name, now)
-            for name, yes in self._votes.items()
-            if yes and name != self.name
+            for name, granted in self._votes.items()
+            if granted and name != self.name
         ]
         self.earlier_leader_until = max([self._last_support_at, *voted])
-        self.leads, self.leader, self._votes = True, self.name, {}
+        self.is_leader, self.leader, self._votes = True, self.name, {}
         self._followers = {name: Follower(self.last, now) for name in self._voters if name != self.name}
         self._outgoing.clear()
         self._uncommitted_proposals.clear()
@@ -120,13 +126,13 @@
     def _become_follower(self, now: float, term: int, leader: str) -> list[Effect]:
         """Adopts a later term, or the leader of this one, and steps down if it was the leader."""
         out: list[Effect] = []
-        if self.leads:
+        if self.is_leader:
             self._last_support_at = now
             out.append(LogEvent("record_leads_no_more", {"term": self.term, "newer": term}))
             out += self._drop_pending_requests("another leads")
         if leader and leader != self.leader:
             out.append(LogEvent("record_leader", {"leader": leader, "term": term}))
-        self.leads, self.leader, self._votes = False, leader, {}
+        self.is_leader, self.leader, self._votes = False, leader, {}
         if term > self.term:
             self.term, self.vote = term, ""
             out += self._persist(HardState(term, ""))
@@ -135,13 +141,13 @@
 
     def resign(self, now: float) -> list[Effect]:
         """Steps down and waits longer than usual before its own next election, so that another may win."""
-        if not self.leads:
+        if not self.is_leader:
             return []
         self._last_support_at = now
-        self.leads, self.leader = False, ""
+        self.is_leader, self.leader = False, ""
         self._election_due_at = now + ELECTION_TIMEOUT * 4.0
-        said = LogEvent("record_leads_no_more", {"term": self.term, "why": "it resigns"})
-        return [said, *self._drop_pending_requests("the leader resigned")]
+        event = LogEvent("record_leads_no_more", {"term": self.term, "why": "it resigns"})
+        return [event, *self._drop_pending_requests("the leader resigned")]
 
     def _drop_pending_requests(self, why: str) -> list[Effect]:
         """Forgets pending requests of a former leader: their senders retry with the next one."""
--- a/sableford/consensus/file_disk.py
+++ b/sableford/consensus/file_disk.py
@@ -15,7 +15,7 @@
 class Disk(Protocol):
     """A folder of files."""
 
-    def names(self) -> list[str]: ...
+    def list_names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
@@ -28,7 +28,7 @@
         """Replaces a whole file atomically; durable once this returns. After a failure the name holds
         either the new or the previous content."""
 
-    def note(self, name: str, data: bytes) -> None:
+    def write_unsynced(self, name: str, data: bytes) -> None:
         """Replaces a small file atomically with regard to a crash of the process; it is not flushed, so a
         crash of the machine may lose it."""
 
@@ -48,7 +48,7 @@
             os.close(self._lock)
             raise
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(
             entry.name for entry in os.scandir(self._folder) if entry.is_file() and entry.name != "lock"
         )
@@ -86,7 +86,7 @@
         finally:
             os.close(folder)
 
-    def note(self, name: str, data: bytes) -> None:
+    def write_unsynced(self, name: str, data: bytes) -> None:
         part = self._folder / f"{name}.part"
         part.write_bytes(data)
         part.rename(self._folder / name)
@@ -105,6 +105,5 @@
             os.close(file)
 
 
-opened: Callable[[Path], Disk] = (
-    RealDisk  # opens the disk at startup; only the test rig's launcher replaces it
-)
+# Opens the disk at startup; only the test rig's launcher replaces it.
+open_disk: Callable[[Path], Disk] = RealDisk
--- a/sableford/consensus/log_files.py
+++ b/sableford/consensus/log_files.py
@@ -63,7 +63,7 @@
 _decode_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
-def frame(body: bytes) -> bytes:
+def encode_record(body: bytes) -> bytes:
     size = len(body).to_bytes(4, "little")
     return _RECORD_HEADER.pack(MAGIC, len(body), google_crc32c.value(size + body)) + body
 
@@ -79,30 +79,30 @@
     return body if google_crc32c.value(size.to_bytes(4, "little") + body) == check else None
 
 
-def frames(data: bytes) -> tuple[list[bytes], int, list[bytes]]:
+def split_records(data: bytes) -> tuple[list[bytes], int, list[bytes]]:
     """The valid records from the start, where they end, and valid records after the damage; bodies only.
 
-    >>> one, two = frame(b"one"), frame(b"two")
-    >>> frames(one + two)[0], frames(one + two[:-1]) == ([b"one"], len(one), [])
+    >>> one, two = encode_record(b"one"), encode_record(b"two")
+    >>> split_records(one + two)[0], split_records(one + two[:-1]) == ([b"one"], len(one), [])
     ([b'one', b'two'], True)
-    >>> frames(b"?" + one[1:] + two)
+    >>> split_records(b"?" + one[1:] + two)
     ([], 0, [b'two'])
     """
     bodies, at = [], 0
     while (body := _record_body(data, at)) is not None:
         bodies.append(body)
         at += _RECORD_HEADER.size + len(body)
-    behind, look = [], data.find(MAGIC, at + 1)
-    while look >= 0:
-        body = _record_body(data, look)
+    behind, next_at = [], data.find(MAGIC, at + 1)
+    while next_at >= 0:
+        body = _record_body(data, next_at)
         if body is not None:
             behind.append(body)
-            look += _RECORD_HEADER.size + len(body)
-        look = data.find(MAGIC, look + (body is None))
+            next_at += _RECORD_HEADER.size + len(body)
+        next_at = data.find(MAGIC, next_at + (body is None))
     return bodies, at, behind
 
 
-class Found(msgspec.Struct):
+class RecoveredFolder(msgspec.Struct):
     """The result of recovery: the state, the log file and its valid size, and messages about damage."""
 
     held: StoredState
@@ -113,19 +113,19 @@
     failed: str = ""  # why it can't be written
 
 
-def recover(name: str, files: dict[str, bytes | None], new_id: str) -> Found:
+def recover(name: str, files: dict[str, bytes | None], new_id: str) -> RecoveredFolder:
     """Recovers the state from `files`, contents by name, None where a file can't be read. The newest log with
     a valid header is used."""
     logs = sorted((file for file in files if file.startswith("log-")), key=_number, reverse=True)
     if not logs:
-        return Found(StoredState(new_id))
+        return RecoveredFolder(StoredState(new_id))
     said: list[str] = []
     for log in logs:
         text = files[log]
         if text is None:
             said.append(f"{log} can't be read")
             continue
-        bodies, size, behind = frames(text)
+        bodies, size, behind = split_records(text)
         try:
             header = _decode_record(bodies[0]) if bodies else None
         except msgspec.MsgspecError:
@@ -134,9 +134,11 @@
             said.append(f"{log} has no head")
             continue
         if header.name != name:
-            return Found(StoredState(new_id), said=[f"the folder is {header.name}'s"], aside=list(files))
+            return RecoveredFolder(
+                StoredState(new_id), said=[f"the folder is {header.name}'s"], aside=list(files)
+            )
         return _replay(log, header, bodies[1:], size, behind, files, len(text), said)
-    return Found(StoredState(new_id), said=said, aside=list(files))
+    return RecoveredFolder(StoredState(new_id), said=said, aside=list(files))
 
 
 def _number(file: str) -> int:
@@ -153,7 +155,7 @@
     files: dict,
     length: int,
     said: list,
-) -> Found:
+) -> RecoveredFolder:
     term, vote, entries, bad = 0, "", [], False
     for body in bodies:
         try:
@@ -185,9 +187,9 @@
         if snapshot is None:
             lost = max(lost or (0, 0), (term, max(last, header.snapshot)))
             said.append(f"image-{header.snapshot} is missing or damaged: it is fetched from the others")
-            return Found(StoredState(header.id, term, vote, lost=lost), log, size, said)
+            return RecoveredFolder(StoredState(header.id, term, vote, lost=lost), log, size, said)
     held = StoredState(header.id, term, vote, snapshot, header.first, header.before, tuple(entries), lost)
-    return Found(held, log, size, said)
+    return RecoveredFolder(held, log, size, said)
 
 
 def _positions_in(behind: Iterable[bytes]) -> list[tuple[int, int]]:
@@ -209,7 +211,7 @@
 
 def _parse_mark(text: bytes | None) -> _FlushMark | None:
     try:
-        bodies = frames(text)[0] if text else []
+        bodies = split_records(text)[0] if text else []
         return _decode_mark(bodies[0]) if bodies else None
     except msgspec.MsgspecError:
         return None
@@ -217,7 +219,7 @@
 
 def _parse_snapshot(text: bytes | None) -> Snapshot | None:
     try:
-        bodies = frames(text)[0] if text else []
+        bodies = split_records(text)[0] if text else []
         return _decode_snapshot(bodies[0]) if bodies else None
     except msgspec.MsgspecError:
         return None
@@ -235,10 +237,10 @@
         self._has_failed = False
         self._opened = False
 
-    def open(self) -> Found:
+    def open(self) -> RecoveredFolder:
         """Recovers the folder's state and writes it to a new log file, so that damage is not read twice."""
         files: dict[str, bytes | None] = {}
-        for file in self._disk.names():
+        for file in self._disk.list_names():
             try:
                 files[file] = self._disk.read(file)
             except OSError:
@@ -246,20 +248,22 @@
         found = recover(self._name, files, os.urandom(8).hex())
         held = found.held
         self._log = found.log or "log-0"
-        meta = HardState(held.term, held.vote)
-        whole = ReplaceLog(held.id, meta, held.snapshot, held.first, held.before, held.entries, held.lost)
+        hard_state = HardState(held.term, held.vote)
+        whole = ReplaceLog(
+            held.id, hard_state, held.snapshot, held.first, held.before, held.entries, held.lost
+        )
         try:
             for file in found.aside:
                 text = files[file]
                 if text is not None and not file.startswith("aside-"):
-                    self._disk.note(f"aside-{file}", text)
+                    self._disk.write_unsynced(f"aside-{file}", text)
                 self._disk.remove(file)
             self._write(whole)
         except OSError as problem:
             self._has_failed, found.failed = True, str(problem)
         return found
 
-    def keep(self, writes: Iterable[object]) -> None:
+    def persist(self, writes: Iterable[object]) -> None:
         """Makes all writes durable, in their order; raises OSError unless all of them certainly are."""
         writes = list(writes)
         try:
@@ -271,7 +275,7 @@
                 raise OSError("an earlier write failed")
             if not writes:
                 return
-            text = b"".join(frame(_encode(_to_record(write))) for write in writes)
+            text = b"".join(encode_record(_encode(_to_record(write))) for write in writes)
             self._disk.append(self._log, text)
             self._disk.sync(self._log)
             self._size += len(text)
@@ -294,26 +298,28 @@
     def _write(self, whole: ReplaceLog) -> None:
         """Writes a new log file beside the old one, which is removed once the new one is durable."""
         if whole.snapshot is not None and whole.snapshot.last != self._image:
-            self._disk.write(f"image-{whole.snapshot.last}", frame(_encode(whole.snapshot)))
+            self._disk.write(f"image-{whole.snapshot.last}", encode_record(_encode(whole.snapshot)))
         snapshot = whole.snapshot.last if whole.snapshot else 0
         header = LogHeader(
             FORMAT_VERSION, self._name, whole.id, snapshot, whole.first, whole.before, whole.lost
         )
-        records = [header, _HardStateRecord(*whole.meta)]
+        records = [header, _HardStateRecord(*whole.hard_state)]
         records += [_EntryRecord(index, entry) for index, entry in enumerate(whole.entries, whole.first)]
-        text = b"".join(frame(_encode(record)) for record in records)
+        text = b"".join(encode_record(_encode(record)) for record in records)
         log = f"log-{_number(self._log) + 1}"
         self._disk.write(log, text)
         self._log, self._size, self._has_failed, self._image = log, len(text), False, snapshot
-        self._term = max([whole.meta.term, *(entry.term for entry in whole.entries)])
+        self._term = max([whole.hard_state.term, *(entry.term for entry in whole.entries)])
         self._last = whole.first + len(whole.entries) - 1
         self._write_mark()
-        for file in self._disk.names():
+        for file in self._disk.list_names():
             if file.startswith(("log-", "image-")) and file not in (log, f"image-{snapshot}"):
                 self._disk.remove(file)
 
     def _write_mark(self) -> None:
-        self._disk.note("mark", frame(_encode(_FlushMark(self._log, self._size, self._term, self._last))))
+        self._disk.write_unsynced(
+            "mark", encode_record(_encode(_FlushMark(self._log, self._size, self._term, self._last)))
+        )
 
 
 def _to_record(write: object) -> object:
--- a/sableford/consensus/messages.py
+++ b/sableford/consensus/messages.py
@@ -28,24 +28,24 @@
 
 
 class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """Requests a vote, or a pre-vote if `pre`, which changes no state: a candidate that was cut off does not
-    disturb the others."""
+    """Requests a vote, or a pre-vote, which changes no state: a candidate that was cut off does not disturb
+    the others."""
 
     id: str
     term: int
     last: int
     last_term: int
-    pre: bool
+    is_pre_vote: bool
 
 
 class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """`quiet_ms`: for how long this voter has responded to no leader; 0 from versions that do not send it."""
+    """`unsupported_ms`: for how long this voter has responded to no leader; 0 from versions that lack it."""
 
     id: str
     term: int
-    yes: bool
-    pre: bool
-    quiet_ms: float = 0.0
+    granted: bool
+    is_pre_vote: bool
+    unsupported_ms: float = 0.0
 
 
 class AppendRequest(msgspec.Struct, array_like=True, frozen=True, tag=13):
@@ -55,7 +55,7 @@
     prev_term: int
     commit: int
     round: int  # the heartbeat round: a read needs responses to a round that began after it
-    kept: int  # the last entry durable at the leader: less after a restart means that its folder was replaced
+    durable: int  # the leader's last durable entry: less after a restart means that its folder was replaced
     entries: tuple[Entry, ...] = ()
     first: int = 0  # first entry in the leader's log: who needs an earlier one fetches the snapshot
     voter: str = ""  # the receiver's id among the leader's voters; empty: not a voter, it is to fetch
@@ -64,18 +64,18 @@
 class AppendResponse(msgspec.Struct, array_like=True, frozen=True, tag=14):
     id: str
     term: int
-    yes: bool
+    success: bool
     last: int  # the last entry that is durable, or where to retry from
     round: int
 
 
 class FetchRequest(msgspec.Struct, array_like=True, frozen=True, tag=15):
-    """Requests the entries after `have`, or the rest of the snapshot up to entry `snap` from byte `at`."""
+    """Requests the entries after `after`, or bytes from `offset` of the snapshot up to entry `snapshot`."""
 
     id: str
-    have: int
-    snap: int = 0
-    at: int = 0
+    after: int
+    snapshot: int = 0
+    offset: int = 0
 
 
 class FetchResponse(msgspec.Struct, array_like=True, frozen=True, tag=16):
@@ -90,11 +90,11 @@
 
 
 class SnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=17):
-    """A part of the snapshot that includes all entries up to `last`: bytes from `at`, `of` bytes in all."""
+    """Bytes from `offset` of the snapshot up to entry `last`, which has `size` bytes in all."""
 
     last: int
-    at: int
-    of: int
+    offset: int
+    size: int
     data: bytes
     through: int = 0  # the byte at which this response ends; the receiver requests what follows
 
@@ -113,9 +113,9 @@
 
     incarnation: int
     number: int
-    yes: bool
+    accepted: bool
     index: int = 0
-    why: str = ""
+    reason: str = ""
 
 
 class StartupQuestion(msgspec.Struct, array_like=True, frozen=True, tag=20):
@@ -136,7 +136,7 @@
     your_last: int
     knows_voter_ids: bool
     voters: dict[str, str] = {}
-    agreed: int = -1  # the sender's commit index, at which `voters` are the voters
+    commit: int = -1  # the sender's commit index, at which `voters` are the voters
 
 
 RaftMessage = (
--- a/sableford/consensus/proposals.py
+++ b/sableford/consensus/proposals.py
@@ -1,6 +1,6 @@
 """Proposals and linearizable reads, retried until a leader responds (Ongaro's dissertation, chapter 6)."""
 
-from sableford.consensus.constants import FORGOTTEN, MAX_PROPOSALS, MOVED, PROPOSAL_RETRY
+from sableford.consensus.constants import KEY_CHANGED, MAX_PROPOSALS, OUTCOME_FORGOTTEN, PROPOSAL_RETRY
 from sableford.consensus.effects import Effect, ProposalResult, Send
 from sableford.consensus.messages import Entry, Kind, ProposeRequest, ProposeResponse
 from sableford.consensus.raft_state import PendingProposal, PendingRead, RaftState
@@ -19,7 +19,7 @@
         else:
             self._next_proposal += 1
             number = self._next_proposal
-        if data is not None and len(data) > self._most + 512:
+        if data is not None and len(data) > self._max_value_bytes + 512:
             return number, [ProposalResult(number, False, 0, f"{len(data)} bytes are too many")]
         if len(self._proposals) >= MAX_PROPOSALS:
             return number, [ProposalResult(number, False, 0, "too many offers under way")]
@@ -33,13 +33,13 @@
     def _retry_proposals(self, now: float) -> list[Effect]:
         out: list[Effect] = []
         for number, one in list(self._proposals.items()):
-            if one.need or now - one.sent_at < PROPOSAL_RETRY or not self.leader:
+            if one.read_index or now - one.sent_at < PROPOSAL_RETRY or not self.leader:
                 continue
             one.sent_at = now
             message = ProposeRequest(number, one.kind, one.data)
             out += (
                 self._handle_propose_request(now, self.name, self.incarnation, message)
-                if self.leads
+                if self.is_leader
                 else [Send(self.leader, message)]
             )
         return out
@@ -47,21 +47,21 @@
     def _handle_propose_request(
         self, now: float, sender: str, incarnation: int, message: ProposeRequest
     ) -> list[Effect]:
-        if not self.leads:
+        if not self.is_leader:
             return []  # the sender retries with whoever leads by then
         if message.data is None:
             return self._handle_read(now, PendingRead(self._round + 1, sender, incarnation, message.number))
         author = f"{sender}#{incarnation}"
         if (known := self.state_machine.known(author, message.number)) is not None:
-            index, held = known
-            why = "" if held else MOVED if index else FORGOTTEN
-            return self._respond(sender, ProposeResponse(incarnation, message.number, held, index, why))
+            index, effective = known
+            why = "" if effective else KEY_CHANGED if index else OUTCOME_FORGOTTEN
+            return self._respond(sender, ProposeResponse(incarnation, message.number, effective, index, why))
         if (author, message.number) in self._uncommitted_proposals:
             return []
         self._uncommitted_proposals[author, message.number] = self.last + 1
         out = self._append_own(Entry(self.term, message.kind, author, message.number, message.data))
         for name, one in self._followers.items():
-            if one.next == self.last:  # else it is behind: its responses trigger sending
+            if one.next_index == self.last:  # else it is behind: its responses trigger sending
                 out += self._send_entries(name, one)
         return out
 
@@ -79,7 +79,7 @@
         # Until an entry of its own term is committed, a leader may not know the full commit index.
         if not self._pending_reads or self.term_at(self.commit) != self.term:
             return []
-        rounds = {name: one.round for name, one in self._followers.items()} | {self.name: self._round}
+        rounds = {name: one.acked_round for name, one in self._followers.items()} | {self.name: self._round}
         out: list[Effect] = []
         for read in list(self._pending_reads):
             if self._majority(name for name, heard in rounds.items() if heard >= read.round):
@@ -102,16 +102,16 @@
         one = self._proposals.get(message.number)
         if one is None or message.incarnation != self.incarnation:
             return []
-        if one.data is None and message.yes:
-            one.need = max(message.index, 1)
+        if one.data is None and message.accepted:
+            one.read_index = max(message.index, 1)
             return self._finish_reads()
         del self._proposals[message.number]
-        return [ProposalResult(message.number, message.yes, message.index, message.why)]
+        return [ProposalResult(message.number, message.accepted, message.index, message.reason)]
 
     def _finish_reads(self) -> list[Effect]:
         out: list[Effect] = []
         for number, one in list(self._proposals.items()):
-            if one.need and self.state_machine.last >= one.need:
+            if one.read_index and self.state_machine.last >= one.read_index:
                 del self._proposals[number]
                 out.append(ProposalResult(number, True, self.state_machine.last, ""))
         return out
--- a/sableford/consensus/raft_node.py
+++ b/sableford/consensus/raft_node.py
@@ -39,14 +39,15 @@
 
 
 class RaftNode(Startup, Elections, Replication, VoterChanges, Snapshots, Proposals):
-    """The host calls `tick` at `due`, `heard` for each message, `stored` or `failed` after a write."""
+    """The host calls `tick` at `due`, `heard` for each message, `handle_persisted` or
+    `handle_disk_failure` after a write."""
 
     def tick(self, now: float) -> list[Effect]:
         out: list[Effect] = []
         if self._rewrite_due:
             self._rewrite_due = False
             out += self._persist(self._replace_log())
-        if now - self._last_tick > LATE_TICK_THRESHOLD + HEARTBEAT and not self.leads:
+        if now - self._last_tick > LATE_TICK_THRESHOLD + HEARTBEAT and not self.is_leader:
             # This process was stalled.
             self._election_due_at = max(self._election_due_at, self._election_deadline(now))
         self._last_tick = now
@@ -54,7 +55,7 @@
             out += self._send_startup_questions(now)
         if self.standing in (Standing.REPLACED, Standing.LEARNER) and self._is_voter(self.name, self.id):
             out += self._readmitted()
-        if self.leads:
+        if self.is_leader:
             out += self._lead_tick(now)
         elif (
             self.standing in VOTING_STANDINGS
@@ -66,11 +67,11 @@
             out += self._fetch_if_due(now)
         self._expire_snapshot_cache(now)
         out += self._retry_proposals(now)
-        waits = not self.leads and self._is_voter(self.name, self.id)
+        waits = not self.is_leader and self._is_voter(self.name, self.id)
         self.due = min(now + HEARTBEAT, max(now + 1.0, self._election_due_at)) if waits else now + HEARTBEAT
         return out
 
-    def met(self, now: float) -> None:
+    def handle_connected(self, now: float) -> None:
         """A connection to another process was opened: startup questions are sent again at once."""
         if self.standing in (Standing.NEW, Standing.ASKING):
             self._startup_question_at = self.due = now
--- a/sableford/consensus/raft_state.py
+++ b/sableford/consensus/raft_state.py
@@ -25,7 +25,7 @@
     HardState,
     LogDurable,
     LogEvent,
-    OwnVoteCounts,
+    OwnVoteDurable,
     Persist,
     ReplaceLog,
     Send,
@@ -49,11 +49,19 @@
 
 
 class Follower:
-    __slots__ = ("acked_sent_at", "heard", "last_fetch_at", "match", "next", "resent_at", "round")
+    __slots__ = (
+        "acked_round",
+        "acked_sent_at",
+        "last_fetch_at",
+        "last_response_at",
+        "match_index",
+        "next_index",
+        "resent_at",
+    )
 
     def __init__(self, last: int, now: float) -> None:
         self.resent_at = -1e12  # when entries were last sent again after it rejected some
-        self.next, self.match, self.round, self.heard = last + 1, 0, 0, now
+        self.next_index, self.match_index, self.acked_round, self.last_response_at = last + 1, 0, 0, now
         self.last_fetch_at = -1e12  # when it last fetched
         self.acked_sent_at = -1e12  # when the newest round that it has acknowledged was sent
 
@@ -94,17 +102,17 @@
 
     id: str
     caught_up: bool
-    heard: float
-    goal: int = 0  # the index at which this round ends
-    began: float = 0.0  # when this round began
+    last_fetch_at: float
+    round_end: int = 0  # the index at which this round ends
+    round_began_at: float = 0.0  # when this round began
 
     def fetched(self, now: float, have: int, round_commit: int, commit: int) -> "Learner":
         """The learner holds all entries up to `have`. `round_commit`: the commit index when the last
         heartbeats were sent; `commit`: the commit index now. Under constant commits it never holds more
         than `round_commit`."""
-        is_quick = now - self.began <= ELECTION_TIMEOUT
-        if have < round_commit and have < self.goal:
-            return self._replace(caught_up=self.caught_up and is_quick, heard=now)
+        is_quick = now - self.round_began_at <= ELECTION_TIMEOUT
+        if have < round_commit and have < self.round_end:
+            return self._replace(caught_up=self.caught_up and is_quick, last_fetch_at=now)
         caught_up = have >= round_commit or is_quick
         return Learner(self.id, caught_up, now, commit, now)
 
@@ -125,11 +133,11 @@
 
 
 class PendingProposal:
-    __slots__ = ("data", "kind", "need", "sent_at")
+    __slots__ = ("data", "kind", "read_index", "sent_at")
 
     def __init__(self, kind: int, data: bytes | None) -> None:
         self.kind, self.data, self.sent_at = kind, data, -1e12
-        self.need = 0  # of a read: the entry that must have been applied here
+        self.read_index = 0  # of a read: the entry that must have been applied here
 
 
 class RaftState:
@@ -141,18 +149,22 @@
         held: StoredState,
         now: float,
         seed: int,
-        most: int = MAX_VALUE_BYTES,
+        max_value_bytes: int = MAX_VALUE_BYTES,
         newcomer: bool = False,
         startup_answer_timeout: float = STARTUP_ANSWER_TIMEOUT,
         transport: Transport = DATAGRAMS,
     ) -> None:
-        """`voters`: the configured names; the first leader records their ids. `most`: the largest value in
-        bytes that the transport carries. `newcomer`: the folder is empty and the log already exists
-        elsewhere; the process votes once the others have added it. `startup_answer_timeout`: ms to wait for
-        all voters' answers to the startup question; then a majority is enough. `transport`: batch and window
-        sizes."""
+        """`voters`: the configured names; the first leader records their ids. `max_value_bytes`: the largest
+        value that the transport carries. `newcomer`: the folder is empty and the log already exists
+        elsewhere; the process votes once the others have added it. `startup_answer_timeout`: ms to wait for all voters'
+        answers to the startup question; then a majority is enough. `transport`: batch and window sizes."""
         self._transport = transport
-        self.name, self.incarnation, self.id, self._most = name, incarnation, held.id, most
+        self.name, self.incarnation, self.id, self._max_value_bytes = (
+            name,
+            incarnation,
+            held.id,
+            max_value_bytes,
+        )
         self._random = Random(f"record {name} {incarnation} {seed}")
         self._configured_voters = tuple(voters)
         self.state_machine = StateMachine()
@@ -169,8 +181,9 @@
         self._base_voters: dict[str, str] = dict.fromkeys(self._configured_voters, "")
         if held.snapshot is not None:
             self._adopt_snapshot(held.snapshot)
-        self.wanted = tuple(voters)  # voters that the host wants; a leader changes the voters towards them
-        self.around: tuple[str, ...] = ()  # other processes that hold the log, as told by the host
+        # Voters that the host wants; a leader changes the voters towards them.
+        self.wanted_voters = tuple(voters)
+        self.known_members: tuple[str, ...] = ()  # other processes that hold the log, as told by the host
         if newcomer and held.snapshot is None and not self.entries:
             self._base_voters = dict.fromkeys(self._configured_voters, UNKNOWN)
         self.commit = self.state_machine.last
@@ -186,11 +199,10 @@
         elif name in (self._latest_voters() if knows_voter_ids else self._configured_voters):
             self.standing = Standing.ASKING if knows_voter_ids else Standing.NEW
         self.leader = ""
-        self.leads = False
+        self.is_leader = False
         self._voters = self._latest_voters()
-        self._progress: dict[
-            str, tuple[str, int, int]
-        ] = {}  # the highest term and entry heard of each voter's folder
+        # The highest term and entry heard of each voter's folder.
+        self._progress: dict[str, tuple[str, int, int]] = {}
         self._startup_answers: dict[str, StartupAnswer] = {}
         self._startup_began_at, self._startup_question_at, self._startup_answer_timeout = (
             now,
@@ -243,14 +255,14 @@
     def last(self) -> int:
         return self.first + len(self.entries) - 1
 
-    def at(self, index: int) -> Entry | None:
+    def entry_at(self, index: int) -> Entry | None:
         return self.entries[index - self.first] if self.first <= index <= self.last else None
 
     def term_at(self, index: int) -> int:
         """The term of an entry in the log or just before the first; -1 for any other."""
         if index == self.first - 1:
             return self._term_before_first
-        entry = self.at(index)
+        entry = self.entry_at(index)
         return entry.term if entry else -1
 
     def voters(self) -> dict[str, str]:
@@ -266,7 +278,7 @@
 
     def _peers(self) -> list[str]:
         """Other processes that may hold the log."""
-        known = dict.fromkeys([*self._configured_voters, *self._voters, *self.around])
+        known = dict.fromkeys([*self._configured_voters, *self._voters, *self.known_members])
         return [name for name in known if name != self.name]
 
     def knows_voter_ids(self) -> bool:
@@ -279,14 +291,14 @@
     def _voters_at(self, index: int) -> dict[str, str]:
         """The voters as of entry `index`, as far as the log goes back."""
         for at in range(min(index, self.last), self.first - 1, -1):
-            if self.at(at).kind == Kind.VOTERS:
-                return msgspec.msgpack.decode(self.at(at).data, type=dict[str, str])
+            if self.entry_at(at).kind == Kind.VOTERS:
+                return msgspec.msgpack.decode(self.entry_at(at).data, type=dict[str, str])
         return dict(self._base_voters)
 
     def _voters_index(self) -> int:
         """The entry that set the voters, or a later one if it is only in the snapshot."""
         for index in range(self.last, self.first - 1, -1):
-            if self.at(index).kind == Kind.VOTERS:
+            if self.entry_at(index).kind == Kind.VOTERS:
                 return index
         return self.snapshot.last if self.snapshot is not None else 0
 
@@ -323,7 +335,7 @@
         self._held_back.append((number, [*before, *then]))
         return []
 
-    def stored(self, now: float, number: int) -> list[Effect]:
+    def handle_persisted(self, now: float, number: int) -> list[Effect]:
         """All writes up to `number` are durable."""
         if self.standing is Standing.NO_DISK and not self._recovery_number <= number:
             return []  # later than the failed write: the disk lacks what came before it
@@ -334,8 +346,8 @@
                     case LogDurable(last, term):
                         if self.term_at(last) == term:  # else it was truncated meanwhile
                             self.durable = last
-                    case OwnVoteCounts(term):
-                        if term == self.term and not self.leads and not self._in_pre_vote:
+                    case OwnVoteDurable(term):
+                        if term == self.term and not self.is_leader and not self._in_pre_vote:
                             self._votes[self.name] = True
                             out += self._count_votes(now)
                     case Send(_, VoteResponse(term=term) | AppendResponse(term=term)) if term != self.term:
@@ -353,11 +365,11 @@
             out += self._persist(self._replace_log()) + self._set_standing(
                 Standing.VOTING, "it has fetched what it lost"
             )
-        if self.leads:
+        if self.is_leader:
             out += self._advance_commit()
         return out
 
-    def failed(self, now: float, why: str) -> list[Effect]:
+    def handle_disk_failure(self, now: float, why: str) -> list[Effect]:
         """A write failed: effects that waited for it are dropped, and this process neither votes nor leads
         until the log was rewritten. Reading goes on."""
         if self.standing is not Standing.NO_DISK:
@@ -366,9 +378,9 @@
         self._held_back.clear()
         self._votes = {}
         self._recovery_number = inf
-        if self.leads:
+        if self.is_leader:
             self._last_support_at = now
-            self.leads, self.leader = False, ""
+            self.is_leader, self.leader = False, ""
             out += self._drop_pending_requests("the leader's disk failed")
         return out
 
@@ -383,10 +395,10 @@
         return self._persist(self._replace_log())
 
     def _replace_log(self) -> ReplaceLog:
-        meta = HardState(self.term, self.vote)
+        hard_state = HardState(self.term, self.vote)
         return ReplaceLog(
             self.id,
-            meta,
+            hard_state,
             self.snapshot,
             self.first,
             self._term_before_first,
--- a/sableford/consensus/replication.py
+++ b/sableford/consensus/replication.py
@@ -5,10 +5,10 @@
 from sableford.consensus.constants import (
     FETCH_INTERVAL,
     HEARTBEAT,
+    KEY_CHANGED,
     MAX_ENTRIES_IN_FLIGHT,
     MAX_MESSAGES_IN_FLIGHT,
     MAX_REMEMBERED_ROUNDS,
-    MOVED,
     QUORUM_TIMEOUT,
     SNAPSHOT_KEEP_ENTRIES,
 )
@@ -36,19 +36,19 @@
 class Replication(RaftState):
     """Heartbeats, append requests, acknowledgements and commits."""
 
-    def fresh(self, now: float, within: float) -> bool:
+    def has_recent_quorum(self, now: float, within: float) -> bool:
         """Whether it leads, and a majority has acknowledged messages sent within the last `within` ms.
         Whoever wins an election does so after the last response that an earlier leader could count."""
         lately = [name for name, one in self._followers.items() if now - one.acked_sent_at <= within]
-        return self.leads and self._majority([*lately, self.name])
+        return self.is_leader and self._majority([*lately, self.name])
 
     def _lead_tick(self, now: float) -> list[Effect]:
-        near = [name for name, one in self._followers.items() if now - one.heard < QUORUM_TIMEOUT]
+        near = [name for name, one in self._followers.items() if now - one.last_response_at < QUORUM_TIMEOUT]
         if not self._majority([*near, self.name]):
             # Without a majority nothing that is proposed to it could be committed.
             out: list[Effect] = [LogEvent("record_leads_no_more", {"term": self.term, "why": "no majority"})]
             self._last_support_at = now
-            self.leads, self.leader = False, ""
+            self.is_leader, self.leader = False, ""
             self._election_due_at = self._election_deadline(now)
             return out + self._drop_pending_requests("no majority is heard")
         if now < self._next_heartbeat_at:
@@ -67,12 +67,12 @@
         return out + self._send_learner_heartbeats() + self._advance_commit()
 
     def _send_to_follower(self, now: float, name: str, one: Follower) -> list[Effect]:
-        silent = now - one.heard >= self._transport.resend
-        if silent and one.next <= self.last:
-            one.next = one.match + 1  # what was sent ahead counts as lost
+        silent = now - one.last_response_at >= self._transport.resend
+        if silent and one.next_index <= self.last:
+            one.next_index = one.match_index + 1  # what was sent ahead counts as lost
         # A silent follower gets no entries until it responds: they would only fill the send queue.
         return (not silent and self._send_entries(name, one)) or [
-            Send(name, self._append_request(name, one.next - 1, ()))
+            Send(name, self._append_request(name, one.next_index - 1, ()))
         ]
 
     def _append_request(self, name: str, prev: int, entries: tuple[Entry, ...]) -> AppendRequest:
@@ -81,54 +81,56 @@
         known = self.commit, self._round, self.durable, entries, self.first
         return AppendRequest(self.id, self.term, *before, *known, self._voters.get(name, ""))
 
-    def _send_entries(self, name: str, one: Follower, most: int = MAX_MESSAGES_IN_FLIGHT) -> list[Effect]:
+    def _send_entries(
+        self, name: str, one: Follower, max_messages: int = MAX_MESSAGES_IN_FLIGHT
+    ) -> list[Effect]:
         """Entries that the follower lacks, sent ahead of its responses up to the window."""
         out: list[Effect] = []
-        if one.next < self.first:  # it has to fetch the snapshot
+        if one.next_index < self.first:  # it has to fetch the snapshot
             return []
-        if one.next > min(self.last, one.match + MAX_ENTRIES_IN_FLIGHT):
+        if one.next_index > min(self.last, one.match_index + MAX_ENTRIES_IN_FLIGHT):
             return []
-        sent = self.entries[max(0, one.match + 1 - self.first) : one.next - self.first]
+        sent = self.entries[max(0, one.match_index + 1 - self.first) : one.next_index - self.first]
         ahead = sum(map(entry_size, sent))
-        while one.next <= min(self.last, one.match + MAX_ENTRIES_IN_FLIGHT) and len(out) < most:
-            size, end = entry_size(self.at(one.next)), one.next + 1
-            while end <= self.last and size + entry_size(self.at(end)) <= self._transport.batch_bytes:
-                size += entry_size(self.at(end))
+        while (
+            one.next_index <= min(self.last, one.match_index + MAX_ENTRIES_IN_FLIGHT)
+            and len(out) < max_messages
+        ):
+            size, end = entry_size(self.entry_at(one.next_index)), one.next_index + 1
+            while end <= self.last and size + entry_size(self.entry_at(end)) <= self._transport.batch_bytes:
+                size += entry_size(self.entry_at(end))
                 end += 1
             if ahead and ahead + size > self._transport.window_bytes:
                 break
-            entries = tuple(self.entries[one.next - self.first : end - self.first])
-            out.append(Send(name, self._append_request(name, one.next - 1, entries)))
-            one.next, ahead = end, ahead + size
+            entries = tuple(self.entries[one.next_index - self.first : end - self.first])
+            out.append(Send(name, self._append_request(name, one.next_index - 1, entries)))
+            one.next_index, ahead = end, ahead + size
         return out
 
     def _handle_append_response(self, now: float, sender: str, message: AppendResponse) -> list[Effect]:
         if message.term > self.term and self._is_voter(sender, message.id):
             return self._become_follower(now, message.term, "")
-        if not self.leads or message.term != self.term or sender not in self._followers:
+        if not self.is_leader or message.term != self.term or sender not in self._followers:
             return []
         if not self._is_voter(sender, message.id):  # a process of that name, but not the folder that votes
             self._note_replaced_folder(now, sender, message.id)
             return []
         one = self._followers[sender]
-        one.heard, one.round = now, max(one.round, message.round)
+        one.last_response_at, one.acked_round = now, max(one.acked_round, message.round)
         one.acked_sent_at = max(one.acked_sent_at, self._round_sent_at.get(message.round, -1e12))
-        self._note_progress(sender, message.id, message.term, message.last if message.yes else 0)
-        if message.yes:
-            one.match = max(one.match, min(message.last, self.last))
-            one.next = max(one.next, one.match + 1)
+        self._note_progress(sender, message.id, message.term, message.last if message.success else 0)
+        if message.success:
+            one.match_index = max(one.match_index, min(message.last, self.last))
+            one.next_index = max(one.next_index, one.match_index + 1)
             return self._advance_commit() + self._send_entries(sender, one)
-        one.next = max(one.match + 1, min(message.last + 1, one.next))
-        if (
-            now - one.resent_at < HEARTBEAT / 2.0
-        ):  # each rejected message is answered: resend once for all of them
+        one.next_index = max(one.match_index + 1, min(message.last + 1, one.next_index))
+        if now - one.resent_at < HEARTBEAT / 2.0:  # one resend for all messages that it rejected
             return []
         one.resent_at = now
-        if (
-            message.last < one.match
-        ):  # it has acknowledged more: the answer shows it that its folder was set back
+        if message.last < one.match_index:
+            # It has acknowledged more: this answer shows it that its folder was set back.
             return [Send(sender, self._startup_answer_for(sender))]
-        if one.next < self.first and now - one.last_fetch_at > FETCH_INTERVAL:
+        if one.next_index < self.first and now - one.last_fetch_at > FETCH_INTERVAL:
             # The previous version requests a snapshot only if it is far behind or has received its start.
             return self._send_snapshot(now, sender, FetchRequest(message.id, message.last))
         return self._send_entries(sender, one, 1)
@@ -136,9 +138,9 @@
     def _advance_commit(self) -> list[Effect]:
         """Commits what is durable at a majority, if its last entry is of this term."""
         out: list[Effect] = []
-        kept = {name: one.match for name, one in self._followers.items()}
-        kept[self.name] = self.durable if self.standing in ACKNOWLEDGING_STANDINGS else 0
-        ranked = sorted((kept.get(name, 0) for name in self._voters), reverse=True)
+        durable = {name: one.match_index for name, one in self._followers.items()}
+        durable[self.name] = self.durable if self.standing in ACKNOWLEDGING_STANDINGS else 0
+        ranked = sorted((durable.get(name, 0) for name in self._voters), reverse=True)
         agreed = ranked[len(ranked) // 2] if ranked else 0
         if agreed > self.commit and self.term_at(agreed) == self.term:
             out += self._apply_committed(agreed)
@@ -160,7 +162,7 @@
         )
         self._election_due_at, self._leader_heard_at = self._election_deadline(now), now
         self._last_support_at = now
-        self._note_progress(sender, message.id, message.term, message.kept)
+        self._note_progress(sender, message.id, message.term, message.durable)
         joins = voter and self.standing in (Standing.REPLACED, Standing.LEARNER)
         if self.standing not in ACKNOWLEDGING_STANDINGS and not joins:
             return out  # entries that only memory holds would count as durable once the disk is back
@@ -184,7 +186,7 @@
                 continue
             if index <= self.last:
                 if index <= self.commit:
-                    raise AssertionError(f"entry {index} was agreed on and is to be replaced")
+                    raise AssertionError(f"committed entry {index} would be replaced")
                 del self.entries[index - self.first :]
                 writes.append(TruncateLog(index - 1))
                 self.durable = min(self.durable, index - 1)
@@ -206,21 +208,28 @@
         out: list[Effect] = []
         self.commit = commit
         while (
-            self.state_machine.last < commit and (entry := self.at(self.state_machine.last + 1)) is not None
+            self.state_machine.last < commit
+            and (entry := self.entry_at(self.state_machine.last + 1)) is not None
         ):
             stopped = self.state_machine.stopped
             index = self.state_machine.last + 1
-            held = self.state_machine.apply(index, entry)
+            effective = self.state_machine.apply(index, entry)
             if self.state_machine.stopped:
                 if not stopped:
                     out.append(LogEvent("record_stopped", {"why": self.state_machine.stopped}))
                 break
             self._applied_bytes += entry_size(entry)
-            out.append(Committed(index, entry, held))
-            if self.leads and self._uncommitted_proposals.pop((entry.author, entry.number), None) is not None:
+            out.append(Committed(index, entry, effective))
+            if (
+                self.is_leader
+                and self._uncommitted_proposals.pop((entry.author, entry.number), None) is not None
+            ):
                 name, _, incarnation = entry.author.rpartition("#")
                 out += self._respond(
-                    name, ProposeResponse(int(incarnation), entry.number, held, index, "" if held else MOVED)
+                    name,
+                    ProposeResponse(
+                        int(incarnation), entry.number, effective, index, "" if effective else KEY_CHANGED
+                    ),
                 )
         if self._compaction_due():
             out += self._compact()
--- a/sableford/consensus/snapshots.py
+++ b/sableford/consensus/snapshots.py
@@ -42,7 +42,7 @@
         keep, size = snapshot.last + 1, 0
         least = max(self.first, keep - keep_entries)
         most = max(keep_bytes, self.state_machine.size()) if keep_bytes else 0
-        while keep > least and (size := size + entry_size(self.at(keep - 1))) <= most:
+        while keep > least and (size := size + entry_size(self.entry_at(keep - 1))) <= most:
             keep -= 1
         self._term_before_first = self.term_at(keep - 1)
         del self.entries[: keep - self.first]
@@ -66,13 +66,13 @@
         names = self._peers()
         if now < self._next_fetch_at or not names:
             return []
-        under_way = self._fetching
+        transfer = self._fetching
         if (
-            under_way is not None
-            and under_way.source in names
+            transfer is not None
+            and transfer.source in names
             and self._unanswered_fetches < MAX_UNANSWERED_FETCHES
         ):
-            return self._fetch(now, under_way.source)  # a snapshot is fetched from one process
+            return self._fetch(now, transfer.source)  # a snapshot is fetched from one process
         # At random, so that not all ask the same process.
         return self._fetch(
             now, self._random.choice([name for name in names if name != self._fetch_source] or names)
@@ -83,13 +83,13 @@
         self._unanswered_fetches = self._unanswered_fetches + 1 if source == self._fetch_source else 0
         self._fetch_source, self._requested_after = source, self.commit
         self._early.clear()
-        under_way = self._fetching
-        if under_way is None or under_way.source != source:
+        transfer = self._fetching
+        if transfer is None or transfer.source != source:
             self._next_fetch_at = now + FETCH_INTERVAL * self._random.uniform(0.5, 1.5)
             return [Send(source, FetchRequest(self.id, self.commit))]
         self._next_fetch_at = now + self._transport.fetch_retry
-        under_way.asked_at = len(under_way.data)
-        return [Send(source, FetchRequest(self.id, self.commit, under_way.last, under_way.asked_at))]
+        transfer.asked_at = len(transfer.data)
+        return [Send(source, FetchRequest(self.id, self.commit, transfer.last, transfer.asked_at))]
 
     def _handle_learner_heartbeat(self, now: float, leader: str) -> list[Effect]:
         """Fetches on the heartbeat of a leader that does not count this process as a voter, but may soon."""
@@ -100,7 +100,7 @@
         self._prompted_fetch_at = now
         return self._fetch(now, leader)
 
-    def newest(self, now: float, index: int) -> None:
+    def handle_commit_hint(self, now: float, index: int) -> None:
         """Another process has committed up to `index`: a learner that is behind fetches soon."""
         if index > self.commit and not self._is_voter(self.name, self.id):
             self._next_fetch_at = min(self._next_fetch_at, now + FETCH_RETRY * self._random.random())
@@ -108,13 +108,13 @@
     # Serving fetches
 
     def _handle_fetch_request(self, now: float, sender: str, message: FetchRequest) -> list[Effect]:
-        if self.leads:
+        if self.is_leader:
             self._note_fetch(now, sender, message)
         if (follower := self._followers.get(sender)) is not None:
             follower.last_fetch_at = now
-        if message.have < self.first - 1 and self.snapshot is not None:
+        if message.after < self.first - 1 and self.snapshot is not None:
             return self._send_snapshot(now, sender, message)
-        batches = self._batches(max(message.have + 1, self.first))
+        batches = self._batches(max(message.after + 1, self.first))
         through = batches[-1][0] + len(batches[-1][1]) - 1
         return [
             Send(sender, FetchResponse(self.term, first, self.commit, entries, self.leader, through))
@@ -125,7 +125,7 @@
         known = self._learners.get(sender)
         if known is None or known.id != message.id:
             known = learner(message.id, now, self.commit)
-        self._learners[sender] = known.fetched(now, message.have, self._round_commit, self.commit)
+        self._learners[sender] = known.fetched(now, message.after, self._round_commit, self.commit)
 
     def _batches(self, first: int) -> list[tuple[int, tuple[Entry, ...]]]:
         """Committed entries from `first` on, as many as one response holds: the first index and entries of
@@ -134,9 +134,9 @@
         while len(out) < self._transport.pieces and (first <= self.commit or not out):
             end, size = first, 0
             while end <= self.commit and (
-                size == 0 or size + entry_size(self.at(end)) <= self._transport.batch_bytes
+                size == 0 or size + entry_size(self.entry_at(end)) <= self._transport.batch_bytes
             ):
-                size += entry_size(self.at(end))
+                size += entry_size(self.entry_at(end))
                 end += 1
             out.append((first, tuple(self.entries[first - self.first : end - self.first])))
             first = end
@@ -145,8 +145,8 @@
     def _send_snapshot(self, now: float, sender: str, message: FetchRequest) -> list[Effect]:
         """The next chunks of the snapshot whose transfer has begun, while it is cached, else of the newest. A
         new snapshot thus does not make a transfer start over."""
-        held, start = self._snapshot_cache, message.at
-        last = message.snap
+        held, start = self._snapshot_cache, message.offset
+        last = message.snapshot
         if last not in held:
             last, start = self.snapshot.last, 0
         if last not in held:
@@ -175,7 +175,7 @@
         a leader, or if the leader does not count it, it may have been replaced, and learns so here."""
         votes = self._is_voter(self.name, self.id)
         invited = now - self._learner_heartbeat_at <= FETCH_INTERVAL
-        if self.leads or (votes and not invited and not self._leaderless(now)):
+        if self.is_leader or (votes and not invited and not self._leaderless(now)):
             return []
         if message.first > self.commit + 1:  # an earlier message of the response is late or lost
             if len(self._early) < self._transport.pieces:
@@ -210,19 +210,23 @@
         out = self._persist(*writes) if writes else []
         if any(isinstance(write, TruncateLog) or write.entry.kind == Kind.VOTERS for write in writes):
             self._set_voters()
-        told = message.first + len(message.entries) - 1
-        return out + self._apply_committed(min(told, message.commit)) if told > self.commit else out
+        last = message.first + len(message.entries) - 1
+        return out + self._apply_committed(min(last, message.commit)) if last > self.commit else out
 
     def _handle_snapshot_chunk(self, now: float, sender: str, message: SnapshotChunk) -> list[Effect]:
-        if message.last <= self.commit or not 0 <= message.at < message.of or sender != self._fetch_source:
+        if (
+            message.last <= self.commit
+            or not 0 <= message.offset < message.size
+            or sender != self._fetch_source
+        ):
             return []
         self._unanswered_fetches = 0
         one = self._fetching
-        if one is None or (one.source, one.last, one.size) != (sender, message.last, message.of):
-            if message.at:  # a late chunk of an abandoned transfer
+        if one is None or (one.source, one.last, one.size) != (sender, message.last, message.size):
+            if message.offset:  # a late chunk of an abandoned transfer
                 return []
-            one = self._fetching = SnapshotTransfer(sender, message.last, message.of)
-        one.take(message.at, message.data)
+            one = self._fetching = SnapshotTransfer(sender, message.last, message.size)
+        one.take(message.offset, message.data)
         if len(one.data) >= one.size:
             return self._install_snapshot(now, one)
         self._next_fetch_at = now + self._transport.fetch_retry
--- a/sableford/consensus/startup.py
+++ b/sableford/consensus/startup.py
@@ -61,7 +61,7 @@
             )
         answer = self._startup_answer_for(sender)
         self._note_progress(sender, message.id, message.term, message.last)
-        if self.leads and self._voters.get(sender) not in (message.id, "", None):
+        if self.is_leader and self._voters.get(sender) not in (message.id, "", None):
             self._note_replaced_folder(now, sender, message.id)
         return [Send(sender, answer)]
 
@@ -90,7 +90,7 @@
         )
         # The sender heard more from this folder than it holds, or its voters do not include this id. The
         # latter counts only if the sender's commit index has reached the voters known here.
-        behind = 0 <= message.agreed < self._voters_index()
+        behind = 0 <= message.commit < self._voters_index()
         other = message.knows_voter_ids and message.voters.get(self.name) != self.id and not behind
         if past or (other and self.standing in (Standing.NEW, Standing.ASKING)):
             why = f"{sender} knows another folder of this name"
@@ -110,12 +110,12 @@
         self._applied_bytes, self.durable = 0, 0
         self._base_voters = dict.fromkeys(self._configured_voters, UNKNOWN)
         self._voters = dict(self._base_voters)
-        self.leads, self.leader = False, ""
+        self.is_leader, self.leader = False, ""
         return self._persist(ReplaceLog(self.id, HardState(0, ""), None, 1, 0, ()))
 
-    def outvoted(self, now: float) -> list[Effect]:
+    def handle_voted_out(self, now: float) -> list[Effect]:
         """Others have committed voters without this process: it can only be added again as a newcomer."""
-        if self.standing in (Standing.REPLACED, Standing.LEARNER) or self.leads:
+        if self.standing in (Standing.REPLACED, Standing.LEARNER) or self.is_leader:
             return []
         return self._set_standing(Standing.REPLACED, "it was voted out") + self._reset_as_newcomer()
 
--- a/sableford/consensus/voter_changes.py
+++ b/sableford/consensus/voter_changes.py
@@ -37,7 +37,7 @@
 
     def _set_voters(self) -> None:
         self._voters = self._latest_voters()
-        if self.leads:
+        if self.is_leader:
             for name in sorted(self._voters.keys() - self._followers.keys() - {self.name}):
                 self._followers[name] = Follower(self.last, self._last_tick)
             for name in sorted(self._followers.keys() - self._voters.keys()):
@@ -48,22 +48,24 @@
         known = self._learners.get(name)
         if known is None or known.id != id:
             known = learner(id, now, self.commit)
-        self._learners[name] = known._replace(heard=now)
+        self._learners[name] = known._replace(last_fetch_at=now)
 
     def _is_silent(self, now: float, name: str) -> bool:
         one = self._followers.get(name)
-        return one is not None and now - one.heard >= SILENCE_TIMEOUT
+        return one is not None and now - one.last_response_at >= SILENCE_TIMEOUT
 
     def _wanted_learners(self, now: float, within: float) -> dict[str, str]:
         """Ids of learners that are to become voters and were heard within that time."""
         return {
             name: learner.id
             for name, learner in sorted(self._learners.items())
-            if name in self.wanted and self._voters.get(name) != learner.id and now - learner.heard <= within
+            if name in self.wanted_voters
+            and self._voters.get(name) != learner.id
+            and now - learner.last_fetch_at <= within
         }
 
     def _change_voters(self, now: float) -> list[Effect]:
-        """Makes the next change towards `wanted` if one is possible now, in the order given at the top."""
+        """Makes the next change towards `wanted_voters` if one is possible, in the order given at the top."""
         if self.term_at(self.commit) != self.term or self.stable_voters() is None:
             return []
         size = len(self._voters)
@@ -79,33 +81,33 @@
         past = self._outgoing_voters(now)
         if past and newcomers and size > 2 and self._is_silent(now, past[0]):
             return self._remove_voter(past[0])
-        unsure = [name for name in past if self._followers[name].round <= self._outgoing[name]]
+        unsure = [name for name in past if self._followers[name].acked_round <= self._outgoing[name]]
         if not all(self._is_silent(now, name) for name in unsure):
             return []  # not known yet whether they respond
         for name, id in newcomers.items():
             return self._add_voter(name, id)
         # Without a newcomer only if the remaining voters tolerate as many failures as the wanted ones.
-        filled = self._voters.keys() >= set(self.wanted)
-        if past and filled and (size - 2) // 2 >= (len(self.wanted) - 1) // 2:
+        filled = self._voters.keys() >= set(self.wanted_voters)
+        if past and filled and (size - 2) // 2 >= (len(self.wanted_voters) - 1) // 2:
             return self._remove_voter(past[0])
         return []
 
     def _outgoing_voters(self, now: float) -> list[str]:
         """Voters to remove, silent ones first; and updates the round in which each was first seen so."""
-        past = [name for name in sorted(self._voters) if name not in self.wanted and name != self.name]
+        past = [name for name in sorted(self._voters) if name not in self.wanted_voters and name != self.name]
         self._outgoing = {name: self._outgoing.get(name, self._round) for name in past}
         return sorted(past, key=lambda name: not self._is_silent(now, name))
 
     def _add_voter(self, name: str, id: str) -> list[Effect]:
-        said = LogEvent("record_voter", {"voter": name, "id": id, "in": True})
-        return [said, *self._append_own(self._voters_entry({**self._voters, name: id}))]
+        event = LogEvent("record_voter", {"voter": name, "id": id, "in": True})
+        return [event, *self._append_own(self._voters_entry({**self._voters, name: id}))]
 
     def _remove_voter(self, name: str) -> list[Effect]:
         rest = {other: id for other, id in self._voters.items() if other != name}
-        said = LogEvent("record_voter", {"voter": name, "id": self._voters[name], "in": False})
-        return [said, *self._append_own(self._voters_entry(rest))]
+        event = LogEvent("record_voter", {"voter": name, "id": self._voters[name], "in": False})
+        return [event, *self._append_own(self._voters_entry(rest))]
 
     def _send_learner_heartbeats(self) -> list[Effect]:
         """Heartbeats to future voters, which makes them fetch from the leader."""
-        learners = [name for name in self.wanted if name not in self._voters and name != self.name]
+        learners = [name for name in self.wanted_voters if name not in self._voters and name != self.name]
         return [Send(name, self._append_request(name, self.last, ())) for name in learners]
--- a/sableford/control/configuration_keeper.py
+++ b/sableford/control/configuration_keeper.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from sableford.consensus.constants import FORGOTTEN, MOVED
+from sableford.consensus.constants import KEY_CHANGED, OUTCOME_FORGOTTEN
 from sableford.consensus.raft_node import put
 from sableford.control import order_history, orders
 from sableford.control.order_process import ProposalOutcome
@@ -73,7 +73,7 @@
         if result.accepted:
             self._archive_old_orders()
             return ProposalOutcome.IN_FORCE
-        if result.why in (MOVED, FORGOTTEN):
+        if result.why in (KEY_CHANGED, OUTCOME_FORGOTTEN):
             return ProposalOutcome.SUPERSEDED
         return ProposalOutcome.TOO_LARGE if len(data) > MAX_VALUE_BYTES else ProposalOutcome.REFUSED
 
--- a/sableford/control/record_driver.py
+++ b/sableford/control/record_driver.py
@@ -74,7 +74,7 @@
             storage.held,
             self._now(),
             crc32(self._name.encode()),
-            most=MAX_VALUE_BYTES,
+            max_value_bytes=MAX_VALUE_BYTES,
             newcomer=is_newcomer,
             startup_answer_timeout=STARTUP_ANSWER_TIMEOUT_MS,
             transport=STREAMS,
@@ -84,14 +84,14 @@
     @property
     def leads(self) -> bool:
         """Whether this machine's side is the leader of its term."""
-        return self.record is not None and self.record.leads
+        return self.record is not None and self.record.is_leader
 
     def leads_with_all_applied(self) -> bool:
         """Whether it leads, and all that was agreed on before is in force here."""
         record = self.record
         return (
             record is not None
-            and record.leads
+            and record.is_leader
             and record.term_at(record.commit) == record.term
             and record.state_machine.last >= record.commit
         )
@@ -112,7 +112,7 @@
     def link_up(self) -> None:
         """A link to another process is open: what waits for its answer asks now."""
         if self.record is not None:
-            self.record.met(self._now())
+            self.record.handle_connected(self._now())
             self.tick()
 
     def handle_message(self, incoming: IncomingMessage[RecordMessage]) -> None:
@@ -175,9 +175,9 @@
     def _stored(self, number: int, problem: BaseException | None) -> None:
         assert self.record is not None, "not started"
         if problem is None:
-            self.carry_out(self.record.stored(self._now(), number))
+            self.carry_out(self.record.handle_persisted(self._now(), number))
         else:
-            self.carry_out(self.record.failed(self._now(), repr(problem)))
+            self.carry_out(self.record.handle_disk_failure(self._now(), repr(problem)))
             self._loop.call_later(REWRITE_AFTER_S, self._rewrite)
         self._on_event()
 
--- a/sableford/control/roster_manager.py
+++ b/sableford/control/roster_manager.py
@@ -124,7 +124,7 @@
         """Whether it votes, is to, or nobody can say."""
         voters = self._driver.stable_voters()
         record = self._driver.record
-        return voters is None or record is None or name in {*voters, *record.wanted}
+        return voters is None or record is None or name in {*voters, *record.wanted_voters}
 
     def _may_complete(self, roster: Roster, name: str) -> bool:
         return may_complete(roster, name, self._voters.candidates(self._now()), self._tolerance)
--- a/sableford/control/service.py
+++ b/sableford/control/service.py
@@ -231,7 +231,7 @@
 
     def _majority_is_recent(self, now: float) -> bool:
         record = self.driver.record
-        return record is not None and record.fresh(now, QUORUM_FRESH_MS)
+        return record is not None and record.has_recent_quorum(now, QUORUM_FRESH_MS)
 
     def _watch_lead(self) -> None:
         """Begins or ends this process's lead as the record says."""
@@ -247,7 +247,7 @@
                 self._duty_manager.become_leader()
             self.carry_out(self.coordinator.become_leader(now, record.term, record.earlier_leader_until))
             self._roster_changed()
-        elif self._is_leader and not record.leads:
+        elif self._is_leader and not record.is_leader:
             self.end_lead()
 
     def end_lead(self) -> None:
@@ -266,14 +266,14 @@
         """This process has joined a leader, who says who votes."""
         voters, record = response.voters, self.record
         if voters is not None and self.me in record.voters() and voters.get(self.me) != record.id:
-            self.driver.carry_out(record.outvoted(self.now()))
+            self.driver.carry_out(record.handle_voted_out(self.now()))
 
     def _link_up(self, name: str, link: Link) -> None:
         self.driver.link_up()
 
     def _process_ended(self, name: str) -> None:
         if self.driver.record is not None:
-            self.driver.record.over(self.now(), name)
+            self.driver.record.handle_process_ended(self.now(), name)
             self.carry_out(self.coordinator.process_ended(self.now(), name))
 
     # What is in force
--- a/sableford/control/voter_manager.py
+++ b/sableford/control/voter_manager.py
@@ -46,11 +46,11 @@
         if record is None:
             return
         live_stores = self._coordinator.view.live_stores
-        record.around = tuple(self._live_stores())
+        record.known_members = tuple(self._live_stores())
         self._zones |= {name: store.zone for name, store in live_stores.items()}
         if not leads:
             # A leader begins with who votes; what it wanted when it last led, or the seeds, may be long past.
-            record.wanted = tuple(record.voters())
+            record.wanted_voters = tuple(record.voters())
             self._leaving_since = now
             self._presence.observe(now, live_stores, {*self._roster().stores, *record.voters()})
             return
@@ -71,7 +71,7 @@
         self._selected_from = voters
         candidates = [one for one in self.candidates(now, voters) if one.name != self.excluded]
         selection = select_voters(voters, candidates, self._tolerance)
-        record.wanted = selection.voters
+        record.wanted_voters = selection.voters
         if selection != self._selection:
             self._selection = selection
             self._log.event("voters_wanted", **selection._asdict())
--- a/sableford/fleet/actor.py
+++ b/sableford/fleet/actor.py
@@ -21,7 +21,7 @@
 from sableford.consensus import file_disk as disk
 from sableford.consensus import messages as raft_messages
 from sableford.consensus.effects import LogEvent, ProposalResult
-from sableford.consensus.log_files import Found, LogFiles
+from sableford.consensus.log_files import LogFiles, RecoveredFolder
 from sableford.consensus.raft_node import RaftNode, put
 from sableford.fleet.membership import words as member_words
 from sableford.fleet.membership.core import Changed, Members, Twin
@@ -52,7 +52,7 @@
 class _Opened(NamedTuple):
     """To itself, from the hand: the folder, or why not."""
 
-    found: Found | None
+    found: RecoveredFolder | None
     problem: str = ""
 
 
@@ -161,7 +161,7 @@
                 self._do(self._record.rewrite())
             self._members.newest = self._record.commit
             newest = max((one.newest for one in self._members.others.values()), default=0)
-            self._record.newest(now, newest)
+            self._record.handle_commit_hint(now, newest)
         if now >= self._seen_at:
             self._seen_at = now + SEEN
             self._console.put(FleetSeen(msgspec.json.encode(self.picture())))
@@ -237,8 +237,8 @@
         self._opening = True
         name, folder = self._seat.name, Path(self._seat.folder)
 
-        def work() -> Found:
-            self._store = LogFiles(disk.opened(folder), name)
+        def work() -> RecoveredFolder:
+            self._store = LogFiles(disk.open_disk(folder), name)
             return self._store.open()
 
         def done(future: asyncio.Future) -> None:
@@ -248,7 +248,7 @@
 
         self._file_calls.submit("open", work).add_done_callback(done)
 
-    def _begin(self, now: float, found: Found | None, problem: str) -> None:
+    def _begin(self, now: float, found: RecoveredFolder | None, problem: str) -> None:
         self._opening, self._try_at = False, now + REWRITE
         if found is None:
             if self._disk != problem:
@@ -278,7 +278,7 @@
                 problem = future.exception()
                 self.mail.put(_Stored(batch[-1].number, str(problem) if problem else ""))
 
-        self._file_calls.submit("keep", lambda: store.keep(deeds)).add_done_callback(done)
+        self._file_calls.submit("keep", lambda: store.persist(deeds)).add_done_callback(done)
 
     def _stored(self, now: float, number: int, problem: str) -> None:
         self._keeping = False
@@ -288,7 +288,7 @@
             if self._disk:
                 self._log.say("record_disk", problem="")
             self._disk = ""
-            self._do(self._record.stored(now, number))
+            self._do(self._record.handle_persisted(now, number))
         self._keep()
 
     def _fail(self, now: float, problem: str) -> None:
@@ -299,7 +299,7 @@
             self._log.say("record_disk", problem=problem)
             self._disk = problem
         self._due.clear()
-        self._do(self._record.failed(now, problem))
+        self._do(self._record.handle_disk_failure(now, problem))
 
     # What the cores want done
 
--- a/sableford/rig/launch.py
+++ b/sableford/rig/launch.py
@@ -29,7 +29,7 @@
         from sableford.consensus import file_disk as disk
         from sableford.rig.disk import LyingDisk
 
-        disk.opened = lambda folder: LyingDisk(given.disk, given.seed, folder)
+        disk.open_disk = lambda folder: LyingDisk(given.disk, given.seed, folder)
     from sableford.net.cli import main as program
 
     program()
--- a/sableford/simulation/consensus/explorer.py
+++ b/sableford/simulation/consensus/explorer.py
@@ -103,9 +103,9 @@
             self._send_startup_questions(name)
 
     def _new_node(self, name: str) -> RaftNode:
-        meta, entries = self.disks[name]
+        hard_state, entries = self.disks[name]
         self.incarnations += 1
-        held = StoredState(f"id-{name}", meta.term, meta.vote, entries=entries)
+        held = StoredState(f"id-{name}", hard_state.term, hard_state.vote, entries=entries)
         node = self._make_node(name, self.incarnations, NAMES, held, self.now, 0)
         node._random = _FixedRandom()
         return node
@@ -129,7 +129,7 @@
                 *(
                     node.term,
                     node.vote,
-                    node.leads,
+                    node.is_leader,
                     node.commit,
                     node.durable,
                     node.standing,
@@ -137,7 +137,9 @@
                 ),
                 tuple(node.entries),
                 tuple(sorted(node._votes.items())),
-                tuple((one.next, one.match) for one in node._followers.values()) if node.leads else (),
+                tuple((one.next_index, one.match_index) for one in node._followers.values())
+                if node.is_leader
+                else (),
                 tuple(number - node._persist_count for number, _ in node._held_back),
             )
             for node in self.nodes.values()
@@ -167,7 +169,7 @@
 
     def _send(self, name: str, to: str, message: object) -> None:
         at_once = isinstance(message, StartupQuestion | StartupAnswer) or (
-            isinstance(message, VoteRequest | VoteResponse) and message.pre
+            isinstance(message, VoteRequest | VoteResponse) and message.is_pre_vote
         )
         if at_once:
             if to in self.nodes:
@@ -189,10 +191,12 @@
             case VoteRequest():
                 return message.term > node.term or (message.term == node.term and node.vote in ("", sender))
             case VoteResponse():
-                counts = message.yes and message.term == node.term and bool(node._votes) and not node.leads
+                counts = (
+                    message.granted and message.term == node.term and bool(node._votes) and not node.is_leader
+                )
                 return counts or message.term > node.term
             case AppendResponse():
-                return message.term > node.term or (node.leads and message.term == node.term)
+                return message.term > node.term or (node.is_leader and message.term == node.term)
         return True
 
     def steps_from(self, bounds: Bounds) -> Iterator[tuple[str, Callable[["State"], None]]]:
@@ -206,10 +210,10 @@
                 yield f"{name}'s disk completes a write", lambda it, name=name: it.complete_write(name)
             if (
                 bounds.candidates[used.candidates : used.candidates + 1] == name
-                and not self.nodes[name].leads
+                and not self.nodes[name].is_leader
             ):
                 yield f"{name} starts an election", lambda it, name=name: it.start_election(name)
-            if used.proposals < bounds.proposals and self.nodes[name].leads:
+            if used.proposals < bounds.proposals and self.nodes[name].is_leader:
                 yield f"{name} gets a proposal", lambda it, name=name: it.propose(name)
             if name in bounds.crashes and name not in used.crashes:
                 yield f"{name} crashes and restarts", lambda it, name=name: it.crash(name)
@@ -222,19 +226,19 @@
     def complete_write(self, name: str) -> None:
         (number, writes), *rest = self.pending_writes[name]
         self.pending_writes[name] = tuple(rest)
-        meta, entries = self.disks[name]
+        hard_state, entries = self.disks[name]
         for write in writes:
             match write:
                 case HardState():
-                    meta = write
+                    hard_state = write
                 case AppendToLog(index, entry):
                     entries = (*entries[: index - 1], entry)
                 case TruncateLog(index):
                     entries = entries[:index]
-                case ReplaceLog(_, meta, _, _, _, entries, _):
+                case ReplaceLog(_, hard_state, _, _, _, entries, _):
                     pass
-        self.disks[name] = meta, entries
-        self.apply_effects(name, self.nodes[name].stored(self.now, number))
+        self.disks[name] = hard_state, entries
+        self.apply_effects(name, self.nodes[name].handle_persisted(self.now, number))
 
     def start_election(self, name: str) -> None:
         self.used = self.used._replace(candidates=self.used.candidates + 1)
--- a/sableford/simulation/consensus/growth.py
+++ b/sableford/simulation/consensus/growth.py
@@ -54,8 +54,8 @@
         loss: float = 0.0,
     ) -> None:
         self.names, self.transport, self._make_node = list(names), transport, make_node
-        self.trial = Trial(seed, MESSAGE_MS, loss, lambda message: len(msgspec.json.encode(message)))
-        self.trial.seen = self._seen
+        self.simulation = Trial(seed, MESSAGE_MS, loss, lambda message: len(msgspec.json.encode(message)))
+        self.simulation.seen = self._seen
         self.members: dict[str, Member] = {}
         self._incarnations = 0
         for name in self.names:
@@ -63,7 +63,7 @@
 
     @property
     def nodes(self) -> dict[str, RaftNode]:
-        return self.trial.cores
+        return self.simulation.cores
 
     def start(self, name: str, wiped: bool = False, newcomer: bool = False) -> RaftNode:
         """Starts a process of that name, new or after `kill`. `wiped`: with an emptied folder; `newcomer`: a
@@ -78,61 +78,63 @@
             self._incarnations,
             self.names,
             member.storage.held,
-            self.trial.now,
+            self.simulation.now,
             7,
-            most=MAX_VALUE_BYTES,
+            max_value_bytes=MAX_VALUE_BYTES,
             newcomer=wiped or newcomer,
             transport=self.transport,
         )
         if member.storage.fresh:
             member.write(member.storage.begin(self.names))
-        node.around = tuple(self.members)
+        node.known_members = tuple(self.members)
         for other in self.nodes.values():
-            other.around = tuple(self.members)
-        self.trial.add(node)
+            other.known_members = tuple(self.members)
+        self.simulation.add(node)
         return node
 
     def kill(self, name: str) -> None:
-        self.trial.kill(name)
+        self.simulation.kill(name)
 
     def run(self, ms: float, until: Callable[[], bool] = lambda: False) -> bool:
-        end = self.trial.now + ms
-        while self.trial.now < end and not until():
-            self.trial.run(min(end, self.trial.now + 5.0))
+        end = self.simulation.now + ms
+        while self.simulation.now < end and not until():
+            self.simulation.run(min(end, self.simulation.now + 5.0))
         return until()
 
     def leader(self) -> RaftNode | None:
         """The leader of the newest term, if its voters are committed."""
-        leads = [node for name, node in self.nodes.items() if node.leads and name not in self.trial.dead]
+        leads = [
+            node for name, node in self.nodes.items() if node.is_leader and name not in self.simulation.dead
+        ]
         leader = max(leads, key=lambda node: node.term, default=None)
         return leader if leader is not None and leader.stable_voters() is not None else None
 
-    def led(self) -> RaftNode:
+    def wait_for_leader(self) -> RaftNode:
         assert self.run(10_000.0, lambda: self.leader() is not None), "no leader was elected"
         return self.leader()
 
-    def want(self, names: Iterable[str]) -> None:
+    def set_wanted_voters(self, names: Iterable[str]) -> None:
         for node in self.nodes.values():
-            node.wanted = tuple(names)
+            node.wanted_voters = tuple(names)
 
     def propose(self, name: str, data: bytes | None) -> int:
-        number, effects = self.nodes[name].propose(self.trial.now, data)
-        self.trial.do(name, effects)
+        number, effects = self.nodes[name].propose(self.simulation.now, data)
+        self.simulation.do(name, effects)
         return number
 
-    def agreed(self, data: bytes, within: float = 5000.0) -> bool:
+    def commit(self, data: bytes, within: float = 5000.0) -> bool:
         """Proposes data to the leader; whether it is committed in time."""
-        name = self.led().name
+        name = self.wait_for_leader().name
         number = self.propose(name, data)
         answers = self.members[name].answers
-        return self.run(within, lambda: number in answers) and answers[number].yes
+        return self.run(within, lambda: number in answers) and answers[number].accepted
 
     def _seen(self, name: str, effect: object) -> None:
         member, node = self.members[name], self.nodes[name]
         match effect:
             case Persist():
-                self.trial.at(
-                    self.trial.now + WRITE_MS, name, lambda: self._complete_write(name, node, effect)
+                self.simulation.at(
+                    self.simulation.now + WRITE_MS, name, lambda: self._complete_write(name, node, effect)
                 )
             case Committed(index):
                 member.committed.append(index)
@@ -148,12 +150,14 @@
             return
         member = self.members[name]
         if member.disk_full:
-            self.trial.do(name, node.failed(self.trial.now, "No space left on device"))
-            self.trial.at(self.trial.now + 1000.0, name, lambda: self.trial.do(name, node.rewrite()))
+            self.simulation.do(name, node.handle_disk_failure(self.simulation.now, "No space left on device"))
+            self.simulation.at(
+                self.simulation.now + 1000.0, name, lambda: self.simulation.do(name, node.rewrite())
+            )
             return
         member.write(member.storage.puts(store.writes, store.number))
         member.storage.kept(store.number)
-        self.trial.do(name, node.stored(self.trial.now, store.number))
+        self.simulation.do(name, node.handle_persisted(self.simulation.now, store.number))
 
 
 class Measurements(msgspec.Struct):
@@ -173,9 +177,9 @@
     """So many changes of a value of that size, then one member loses its folder while they go on."""
     group = Group("abc", transport)
     for number in range(changes):
-        assert group.agreed(_value(number, value_bytes)), number
+        assert group.commit(_value(number, value_bytes)), number
     group.run(500.0)
-    leader = group.led()
+    leader = group.wait_for_leader()
     stored = group.members[leader.name].stored
     disk = sum(len(key) + len(value) for key, value in stored.items())
     entries, log = len(leader.entries), sum(len(entry.data) for entry in leader.entries)
@@ -183,18 +187,18 @@
     wiped = next(name for name in group.names if name != leader.name)
     group.kill(wiped)
     group.run(200.0)
-    before, began = dict(group.trial.bytes), group.trial.now
+    before, began = dict(group.simulation.bytes), group.simulation.now
     node = group.start(wiped, wiped=True)
     took = None
-    while group.trial.now - began < 60_000.0:
+    while group.simulation.now - began < 60_000.0:
         changes += 1
-        group.propose(group.led().name, _value(changes, value_bytes))
+        group.propose(group.wait_for_leader().name, _value(changes, value_bytes))
         # Caught up: a voter again, with all committed entries.
         group.run(500.0, lambda: _caught_up(group, node))
         if _caught_up(group, node):
-            took = group.trial.now - began
+            took = group.simulation.now - began
             break
-    sent = sum(group.trial.bytes[name] - before[name] for name in group.names if name != wiped)
+    sent = sum(group.simulation.bytes[name] - before[name] for name in group.names if name != wiped)
     return Measurements(changes, value_bytes, disk, entries, log, snapshot, sent, took)
 
 
--- a/sableford/simulation/consensus/walk.py
+++ b/sableford/simulation/consensus/walk.py
@@ -36,7 +36,7 @@
         self.flushed: list[dict[str, bytes]] = []  # the durable files after each of the last flushes
         self.error: str = ""
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
@@ -60,7 +60,7 @@
         self.files[name] = self.durable[name] = data
         self.flushed = [*self.flushed[-30:], dict(self.durable)]
 
-    def note(self, name: str, data: bytes) -> None:
+    def write_unsynced(self, name: str, data: bytes) -> None:
         self.files[name] = self.durable[name] = data
 
     def remove(self, name: str) -> None:
@@ -107,8 +107,8 @@
         self._padding = b" " * value_bytes
         self.random, self.disk_faults, self._make_node = Random(f"walk {seed}"), disk_faults, make_node
         self.seed, self.loss = seed, loss
-        self.trial = Trial(seed, 2.0, loss)
-        self.trial.seen = self._seen
+        self.simulation = Trial(seed, 2.0, loss)
+        self.simulation.seen = self._seen
         self.voters = [f"v{at}" for at in range(voters)]
         self.names = [*self.voters, *(f"l{at}" for at in range(learners))]
         self.disks = {name: MemoryDisk() for name in self.names}
@@ -132,25 +132,25 @@
         log_file = LogFiles(self.disks[name], name)
         found = log_file.open()
         self.log_files[name] = log_file
-        node = self._make_node(name, self.starts, self.voters, found.held, self.trial.now, self.seed)
-        self.events.append(f"{self.trial.now:.0f} {name} starts: {found.said}")
-        self.trial.add(node)
+        node = self._make_node(name, self.starts, self.voters, found.held, self.simulation.now, self.seed)
+        self.events.append(f"{self.simulation.now:.0f} {name} starts: {found.said}")
+        self.simulation.add(node)
         if found.failed:
             self._fail(name, node, found.failed)
 
     def _fail(self, name: str, node: RaftNode, why: str) -> None:
-        trial = self.trial
-        trial.do(name, node.failed(trial.now, why))
+        simulation = self.simulation
+        simulation.do(name, node.handle_disk_failure(simulation.now, why))
 
         def again() -> None:
-            if trial.cores[name] is node:
-                trial.do(name, node.rewrite())
+            if simulation.cores[name] is node:
+                simulation.do(name, node.rewrite())
 
-        trial.at(trial.now + 500.0, name, again)
+        simulation.at(simulation.now + 500.0, name, again)
 
     def crash(self, name: str, disk_fault: str = "") -> None:
-        self.events.append(f"{self.trial.now:.0f} {name} crashes, {disk_fault or 'no disk fault'}")
-        self.trial.kill(name)
+        self.events.append(f"{self.simulation.now:.0f} {name} crashes, {disk_fault or 'no disk fault'}")
+        self.simulation.kill(name)
         self.disks[name].crash(self.random, disk_fault)
         self.pending = {key: value for key, value in self.pending.items() if key[0] != name}
         if disk_fault:
@@ -167,52 +167,58 @@
                     )
             case ProposalResult(number, yes, index, _):
                 self._answer(name, number, yes, index)
-            case LogEvent("record_leader", facts) if facts["leader"] == name:
-                if self.leaders.setdefault(facts["term"], name) != name:
+            case LogEvent("record_leader", fields) if fields["leader"] == name:
+                if self.leaders.setdefault(fields["term"], name) != name:
                     raise InvariantError(
-                        f"{name} and {self.leaders[facts['term']]} both lead term {facts['term']}"
+                        f"{name} and {self.leaders[fields['term']]} both lead term {fields['term']}"
                     )
                 self.leader_changes += 1
-                self.events.append(f"{self.trial.now:.0f} {name} leads term {facts['term']}")
-            case LogEvent(event, facts):
-                self.events.append(f"{self.trial.now:.0f} {name} {event} {facts}")
-                if event == "record_standing" and facts["standing"] == "VOTING" and name == self.faulty_voter:
+                self.events.append(f"{self.simulation.now:.0f} {name} leads term {fields['term']}")
+            case LogEvent(event, fields):
+                self.events.append(f"{self.simulation.now:.0f} {name} {event} {fields}")
+                if (
+                    event == "record_standing"
+                    and fields["standing"] == "VOTING"
+                    and name == self.faulty_voter
+                ):
                     self.faulty_voter = ""
 
     def _persist(self, name: str, number: int, writes: tuple) -> None:
-        log_file, node = self.log_files[name], self.trial.cores[name]
+        log_file, node = self.log_files[name], self.simulation.cores[name]
 
         def done() -> None:
-            if self.trial.cores[name] is not node:
+            if self.simulation.cores[name] is not node:
                 return
             try:
-                log_file.keep(writes)
+                log_file.persist(writes)
             except OSError as problem:
                 self._fail(name, node, str(problem))
                 return
-            self.trial.do(name, node.stored(self.trial.now, number))
+            self.simulation.do(name, node.handle_persisted(self.simulation.now, number))
 
         # One after the other, as on one worker thread.
         free = getattr(log_file, "free_at", 0.0)
-        log_file.free_at = max(free, self.trial.now) + self.random.uniform(*FLUSH_MS)
-        self.trial.at(log_file.free_at, name, done)
+        log_file.free_at = max(free, self.simulation.now) + self.random.uniform(*FLUSH_MS)
+        self.simulation.at(log_file.free_at, name, done)
 
     # Proposals and reads
 
     def propose(self, name: str) -> None:
-        node = self.trial.cores[name]
-        if name in self.trial.dead or name in self.trial.stopped:
+        node = self.simulation.cores[name]
+        if name in self.simulation.dead or name in self.simulation.stopped:
             return
         if self.random.random() < 0.3:
-            number, effects = node.propose(self.trial.now, None)
+            number, effects = node.propose(self.simulation.now, None)
             self.pending[name, number] = 0, max(self.acked.values(), default=0)
             self.reads += 1
         else:
             self.proposals += 1
             key = f"k{self.random.randrange(5)}"
-            number, effects = node.propose(self.trial.now, put(key, b"%d" % self.proposals + self._padding))
+            number, effects = node.propose(
+                self.simulation.now, put(key, b"%d" % self.proposals + self._padding)
+            )
             self.pending[name, number] = self.proposals, None
-        self.trial.do(name, effects)
+        self.simulation.do(name, effects)
 
     def _answer(self, name: str, number: int, yes: bool, index: int) -> None:
         proposal, least = self.pending.pop((name, number), (0, None))
@@ -228,80 +234,82 @@
 
     def step(self) -> None:
         """Causes one fault, or ends some."""
-        name, trial = self.random.choice(self.names), self.trial
-        dead = [one for one in self.voters if one in trial.dead]
+        name, simulation = self.random.choice(self.names), self.simulation
+        dead = [one for one in self.voters if one in simulation.dead]
         kind = self.random.choice(
             ["crash", "start", "start", "stop", "go_on", "cut", "heal", "heal", "disk_fault", "fail"]
         )
-        if kind == "crash" and name not in trial.dead and len(dead) < len(self.voters):
+        if kind == "crash" and name not in simulation.dead and len(dead) < len(self.voters):
             self.crash(name)
         elif kind == "disk_fault" and self.disk_faults and name in self.voters and self._may_fault_disk(name):
             self.crash(name, self.random.choice(self.disk_faults))
             self.start(name)
-        elif kind == "start" and name in trial.dead:
+        elif kind == "start" and name in simulation.dead:
             self.start(name)
-        elif kind == "stop" and name not in trial.dead and name not in trial.stopped:
-            trial.stop(name)
-        elif kind == "go_on" and name in trial.stopped:
-            trial.go_on(name)
+        elif kind == "stop" and name not in simulation.dead and name not in simulation.stopped:
+            simulation.stop(name)
+        elif kind == "go_on" and name in simulation.stopped:
+            simulation.go_on(name)
         elif kind == "cut":
             apart, one_way = {name, self.random.choice(self.names)}, self.random.random() < 0.3
-            trial.cut = lambda start, end: (start in apart) != (end in apart) and (
+            simulation.cut = lambda start, end: (start in apart) != (end in apart) and (
                 not one_way or start in apart
             )
         elif kind == "heal":
-            trial.cut = lambda start, end: False
-        elif kind == "fail" and name not in trial.dead:
+            simulation.cut = lambda start, end: False
+        elif kind == "fail" and name not in simulation.dead:
             self.disks[name].error = "" if self.disks[name].error else "No space left on device"
 
     def _may_fault_disk(self, name: str) -> bool:
         """Whether all other voters run, can be reached and vote, and no earlier disk fault is unresolved."""
         others = [one for one in self.voters if one != name]
-        up = all(one not in self.trial.dead and one not in self.trial.stopped for one in others)
-        sound = all(self.trial.cores[one].standing is raft_effects.Standing.VOTING for one in others)
-        cut = any(self.trial.cut(one, two) for one in self.voters for two in self.voters if one != two)
-        return up and sound and not cut and not self.faulty_voter and name not in self.trial.dead
+        up = all(one not in self.simulation.dead and one not in self.simulation.stopped for one in others)
+        sound = all(self.simulation.cores[one].standing is raft_effects.Standing.VOTING for one in others)
+        cut = any(self.simulation.cut(one, two) for one in self.voters for two in self.voters if one != two)
+        return up and sound and not cut and not self.faulty_voter and name not in self.simulation.dead
 
     def run(self, steps: int) -> None:
         """Raises InvariantError if an invariant is violated or the nodes do not agree at the end."""
         next_proposal = 500.0
-        self.trial.run(2500.0)
+        self.simulation.run(2500.0)
         for _ in range(steps):
-            until = self.trial.now + self.random.uniform(0.2, 2.0) * FAULT_INTERVAL_MS
+            until = self.simulation.now + self.random.uniform(0.2, 2.0) * FAULT_INTERVAL_MS
             while next_proposal < until:
-                self.trial.run(max(next_proposal, self.trial.now))
+                self.simulation.run(max(next_proposal, self.simulation.now))
                 self.propose(self.random.choice(self.names))
-                next_proposal = self.trial.now + self.random.uniform(0.3, 2.0) * PROPOSAL_INTERVAL_MS
-            self.trial.run(until)
+                next_proposal = self.simulation.now + self.random.uniform(0.3, 2.0) * PROPOSAL_INTERVAL_MS
+            self.simulation.run(until)
             self.step()
         self.settle()
 
     def settle(self) -> None:
-        self.trial.cut = lambda start, end: False
-        self.trial.loss = 0.0
+        self.simulation.cut = lambda start, end: False
+        self.simulation.loss = 0.0
         for name in self.names:
             self.disks[name].error = ""
-            if name in self.trial.dead:
+            if name in self.simulation.dead:
                 self.start(name)
-            elif name in self.trial.stopped:
-                self.trial.go_on(name)
-        self.trial.run(self.trial.now + SETTLE_MS)
+            elif name in self.simulation.stopped:
+                self.simulation.go_on(name)
+        self.simulation.run(self.simulation.now + SETTLE_MS)
         before = len(self.acked)
         for name in self.names:
-            node = self.trial.cores[name]
+            node = self.simulation.cores[name]
             self.proposals += 1
-            number, effects = node.propose(self.trial.now, put("last", name.encode()))
+            number, effects = node.propose(self.simulation.now, put("last", name.encode()))
             self.pending[name, number] = self.proposals, None
-            self.trial.do(name, effects)
-        self.trial.run(self.trial.now + SETTLE_MS / 2.0)
+            self.simulation.do(name, effects)
+        self.simulation.run(self.simulation.now + SETTLE_MS / 2.0)
         if len(self.acked) < before + len(self.names):
             raise InvariantError(
                 f"after all faults {len(self.acked) - before} of {len(self.names)} proposals were committed"
             )
-        commits = {name: self.trial.cores[name].commit for name in self.names}
+        commits = {name: self.simulation.cores[name].commit for name in self.names}
         if len(set(commits.values())) > 1:
             raise InvariantError(f"after all faults the commit indexes differ: {commits}")
-        images = {msgspec.msgpack.encode(node.state_machine.values) for node in self.trial.cores.values()}
+        images = {
+            msgspec.msgpack.encode(node.state_machine.values) for node in self.simulation.cores.values()
+        }
         if len(images) > 1:
             raise InvariantError("the same entries led to different values")
         gone = [index for index in self.acked.values() if index > min(commits.values())]
--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -276,9 +276,9 @@
     async def scene() -> None:
         control, clock = core()
         assert await run_core(control, clock, lambda: control.leads)
-        control.record.wanted = ("s09",)  # as it was when it led before
+        control.record.wanted_voters = ("s09",)  # as it was when it led before
         control._voter_manager.update(clock[0], leads=False)
-        assert control.record.wanted == ("s00",)
+        assert control.record.wanted_voters == ("s00",)
 
     asyncio.run(scene())
 
@@ -498,10 +498,10 @@
 
 def shows_a_voter_that_is_emptied_where_fewer_are_enough_votes_no_more() -> None:
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     stay = sorted(name for name in "abc" if name != leader.name)[:1] + [leader.name]
-    group.want(stay)  # no store may be lost: two of three seats are left, and nobody is to come
-    assert group.run(3000.0, lambda: sorted(group.led().stable_voters() or {}) == sorted(stay))
+    group.set_wanted_voters(stay)  # no store may be lost: two of three seats are left, and nobody is to come
+    assert group.run(3000.0, lambda: sorted(group.wait_for_leader().stable_voters() or {}) == sorted(stay))
 
 
 def shows_voters_bear_the_loss_of_a_zone_again_after_one_was_lost() -> None:
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -17,7 +17,7 @@
 from msgspec.structs import replace
 
 from sableford.consensus import replication
-from sableford.consensus.effects import OwnVoteCounts
+from sableford.consensus.effects import OwnVoteDurable
 from sableford.consensus.messages import AppendRequest, AppendResponse
 from sableford.consensus.raft_node import RaftNode
 from sableford.consensus.state_machine import StateMachine
@@ -111,7 +111,7 @@
 
 
 def leader_not_fenced(original: Callable) -> Callable:
-    return lambda self, now, within: self.leads
+    return lambda self, now, within: self.is_leader
 
 
 def late_beat_taken(original: Callable) -> Callable:
@@ -144,7 +144,7 @@
 
     def heard(self: RaftNode, now: float, sender: str, birth: int, word: Any) -> Any:
         old = isinstance(word, AppendRequest) and word.term < self.term
-        other = isinstance(word, AppendResponse) and self.leads
+        other = isinstance(word, AppendResponse) and self.is_leader
         return original(self, now, sender, birth, replace(word, term=self.term) if old or other else word)
 
     return heard
@@ -154,7 +154,7 @@
     """Votes and entries are spoken of before the disk has them."""
 
     def keep(self: RaftNode, *deeds: object, then: list | None = None) -> list:
-        own = [effect for effect in then or [] if isinstance(effect, OwnVoteCounts)]
+        own = [effect for effect in then or [] if isinstance(effect, OwnVoteDurable)]
         told = [effect for effect in then or [] if effect not in own]
         return [*original(self, *deeds, then=own), *told]
 
@@ -162,7 +162,7 @@
 
 
 def two_changes_of_voters(original: Callable) -> Callable:
-    return lambda self: dict(self._voters) if self.bound() else None
+    return lambda self: dict(self._voters) if self.knows_voter_ids() else None
 
 
 def newcomer_counted_at_once(original: Callable) -> Callable:
@@ -182,7 +182,7 @@
         before = set(self._followers)
         original(self)
         for name in self._followers.keys() - before:
-            self._followers[name].match = self.last
+            self._followers[name].match_index = self.last
 
     return set_voters
 
@@ -365,7 +365,7 @@
         MemberClient, "holds_lease", lease_not_checked, {"stale member", "drain"}, FROZEN
     ),
     "a leader is not fenced": Mistake(
-        RaftNode, "fresh", leader_not_fenced, {"stale member", "drain"}, LEAVING
+        RaftNode, "has_recent_quorum", leader_not_fenced, {"stale member", "drain"}, LEAVING
     ),
     "late heartbeats are taken": Mistake(WorkerTable, "put", late_beat_taken, {"drain"}, LEAVING),
     "news of an older term is taken": Mistake(
--- a/tests/record.py
+++ b/tests/record.py
@@ -31,7 +31,7 @@
     def _persist(self, *writes, then=None):
         votes = [e for e in then or () if not (isinstance(e, Send) and isinstance(e.message, AppendResponse))]
         if votes and all(isinstance(write, HardState) for write in writes):
-            rest = [effect for effect in votes if isinstance(effect, raft_effects.OwnVoteCounts)]
+            rest = [effect for effect in votes if isinstance(effect, raft_effects.OwnVoteDurable)]
             said = [effect for effect in votes if effect not in rest]
             return super()._persist(*writes, then=rest) + said
         return super()._persist(*writes, then=then)
@@ -79,12 +79,12 @@
 
 def shows_a_leader_counts_an_earlier_terms_entry_only_with_one_of_its_own() -> None:
     walk = Walk(1, learners=0, loss=0.0, disk_faults=())
-    walk.trial.run(3000.0)
-    leader = next(node for node in walk.trial.cores.values() if node.leads)
+    walk.simulation.run(3000.0)
+    leader = next(node for node in walk.simulation.cores.values() if node.is_leader)
     leader.entries.append(Entry(leader.term, Kind.NOTHING))
     leader.term += 1  # as if elected again, with an uncommitted entry of its earlier term
     for one in leader._followers.values():
-        one.match = leader.last
+        one.match_index = leader.last
     leader.durable = leader.last
     before = leader.commit
     leader._advance_commit()
@@ -92,7 +92,7 @@
     leader.entries.append(Entry(leader.term, Kind.NOTHING))
     leader.durable = leader.last
     for one in leader._followers.values():
-        one.match = leader.last
+        one.match_index = leader.last
     leader._advance_commit()
     assert leader.commit == leader.last
 
@@ -135,9 +135,9 @@
     disk = MemoryDisk()
     store = LogFiles(disk, "a")
     store.open()
-    store.keep([HardState(3, "b")])
+    store.persist([HardState(3, "b")])
     for index in range(1, 11):
-        store.keep([AppendToLog(index, Entry(3, Kind.PUT, "x#1", index, put("k", b"%d" % index)))])
+        store.persist([AppendToLog(index, Entry(3, Kind.PUT, "x#1", index, put("k", b"%d" % index)))])
     return disk, disk.files["log-1"]
 
 
@@ -182,7 +182,7 @@
     effects = node._apply_committed(10_500)
     stores = [effect for effect in effects if isinstance(effect, raft_effects.Persist)]
     for effect in stores:
-        store.keep(effect.writes)
+        store.persist(effect.writes)
     found = LogFiles(disk, "a").open()
     back = RaftNode("a", 2, ["a"], found.held, 0.0, 1)
     assert (
@@ -202,7 +202,7 @@
         disk = RealDisk(Path(place, "fleet"))
         store = LogFiles(disk, "a")
         found = store.open()
-        store.keep([HardState(1, "a"), AppendToLog(1, Entry(1, Kind.NOTHING))])
+        store.persist([HardState(1, "a"), AppendToLog(1, Entry(1, Kind.NOTHING))])
         try:
             RealDisk(Path(place, "fleet"))
         except BlockingIOError:
@@ -215,10 +215,10 @@
         whole = ReplaceLog("x", HardState(2, ""), None, 1, 0, ())
         store._has_failed = True
         try:
-            store.keep([HardState(2, "")])
+            store.persist([HardState(2, "")])
         except OSError as problem:
             assert "earlier" in str(problem)
         else:
             raise AssertionError("a write after a failure was accepted")
-        store.keep([whole])  # only a full rewrite ends the failed state
+        store.persist([whole])  # only a full rewrite ends the failed state
         assert not store._has_failed
--- a/tests/record_disks.py
+++ b/tests/record_disks.py
@@ -44,22 +44,22 @@
     for at, entry in enumerate(entries):
         effects += node.heard(1.0, "a", 1, AppendRequest("id", 1, at, min(at, 1), 0, 1, 0, (entry,)))
     numbers = [effect.number for effect in effects if isinstance(effect, Persist)]
-    effects = node.failed(2.0, "No space left on device")
+    effects = node.handle_disk_failure(2.0, "No space left on device")
     for number in numbers[1:]:
-        effects += node.stored(2.0, number)
+        effects += node.handle_persisted(2.0, number)
     assert node.standing is Standing.NO_DISK and node.durable == 0
     assert not [one for one in effects if isinstance(one, Send) and isinstance(one.message, AppendResponse)]
     [whole] = node.rewrite()
     assert node.rewrite() == []  # one at a time
-    node.stored(3.0, whole.number)
+    node.handle_persisted(3.0, whole.number)
     assert node.standing is Standing.VOTING and node.durable == 3
 
 
 def shows_a_full_disk_is_given_a_snapshot_and_not_a_long_log_again_each_second() -> None:
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     for number in range(18):
-        assert group.agreed(value(number))
+        assert group.commit(value(number))
     late = next(name for name in group.names if name != leader.name)
     node, member = group.nodes[late], group.members[late]
     assert sum(len(entry.data) for entry in node.entries) > 800_000
@@ -68,7 +68,7 @@
     rewrite = node.rewrite
     node.rewrite = lambda: (effects := rewrite(), rewritten.extend(effects))[0]
     for number in range(100, 130):
-        assert group.agreed(put("k", b"%d" % number))
+        assert group.commit(put("k", b"%d" % number))
     group.run(5000.0)
     assert node.standing is Standing.NO_DISK and 4 <= len(rewritten) <= 9, len(rewritten)
     size = sum(len(entry.data) for store in rewritten for write in store.writes for entry in write.entries)
@@ -226,11 +226,11 @@
             return super()._handle_snapshot_chunk(now, sender, msgspec.structs.replace(message, through=0))
 
     group = Group("abc", DATAGRAMS)
-    leader = group.led()
+    leader = group.wait_for_leader()
     late = next(name for name in group.names if name != leader.name)
     group.kill(late)
     for number in range(60):
-        assert group.agreed(value(number, 30_000))
+        assert group.commit(value(number, 30_000))
     group._make_node = PreviousVersion
     node = group.start(late)
     assert leader.first > node.last + 1
--- a/tests/record_growth.py
+++ b/tests/record_growth.py
@@ -25,7 +25,7 @@
 
 
 def is_caught_up(group: Group, node: RaftNode) -> bool:
-    return node.commit >= group.led().commit
+    return node.commit >= group.wait_for_leader().commit
 
 
 # Size limits
@@ -54,8 +54,8 @@
 def shows_reads_do_not_push_an_order_out_of_what_is_remembered() -> None:
     """Reads used proposal numbers, so a proposal that waited during a thousand reads counted as applied."""
     group = Group("abc")
-    leader = group.led()
-    group.trial.cut = lambda start, end: start == leader.name
+    leader = group.wait_for_leader()
+    group.simulation.cut = lambda start, end: start == leader.name
     number = group.propose(leader.name, put("k", b"1"))
     for _ in range(100):
         for _ in range(10):
@@ -63,9 +63,9 @@
         for waiting in list(leader._proposals):
             if waiting != number:
                 leader.drop(waiting)
-    group.trial.cut = lambda start, end: False
+    group.simulation.cut = lambda start, end: False
     group.run(3000.0)
-    assert group.members[leader.name].answers[number].yes
+    assert group.members[leader.name].answers[number].accepted
     assert group.propose(leader.name, put("k", b"2")) == number + 1
 
 
@@ -118,12 +118,13 @@
 def shows_a_voter_behind_a_short_log_fetches_the_snapshot() -> None:
     """A voter fewer than a thousand entries behind stayed behind when the leader's log began after them."""
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     late = next(name for name in group.names if name != leader.name)
     group.kill(late)
     for number in range(60):
-        assert group.agreed(value(number))
-    assert group.led().first > group.nodes[late].last + 1  # the next entry is not in the leader's log
+        assert group.commit(value(number))
+    # The next entry is not in the leader's log.
+    assert group.wait_for_leader().first > group.nodes[late].last + 1
     node = group.start(late)
     assert group.run(2000.0, lambda: node.commit >= leader.commit), (node.commit, leader.commit)
     assert node.snapshot is not None and node.standing is Standing.VOTING
@@ -170,20 +171,20 @@
 
 def shows_a_fetched_snapshot_is_told_to_its_host_and_serves_a_read_that_waited() -> None:
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     late = next(name for name in group.names if name != leader.name)
     group.kill(late)
     for number in range(60):
-        assert group.agreed(value(number))
+        assert group.commit(value(number))
     leader._compact(0, 0)  # no entries after it, which would be committed later
     node = group.start(late)
     effects = []
-    seen = group.trial.seen
-    group.trial.seen = lambda name, effect: (effects.append((name, effect)), seen(name, effect))
+    seen = group.simulation.seen
+    group.simulation.seen = lambda name, effect: (effects.append((name, effect)), seen(name, effect))
     node._handle_snapshot_chunk = lambda now, sender, message: []  # the snapshot is delayed
     assert group.run(2000.0, lambda: node.leader != "")
     number = group.propose(late, None)
-    assert group.run(2000.0, lambda: node._proposals[number].need > 0)
+    assert group.run(2000.0, lambda: node._proposals[number].read_index > 0)
     del node._handle_snapshot_chunk
     assert group.run(2000.0, lambda: number in group.members[late].answers)
     assert any(name == late and isinstance(effect, SnapshotInstalled) for name, effect in effects)
@@ -192,24 +193,29 @@
 
 def bytes_in_flight(leader: RaftNode, name: str) -> int:
     one = leader._followers[name]
-    return sum(len(leader.at(index).data) for index in range(max(one.match + 1, leader.first), one.next))
+    return sum(
+        len(leader.entry_at(index).data)
+        for index in range(max(one.match_index + 1, leader.first), one.next_index)
+    )
 
 
 def shows_a_follower_far_behind_is_sent_no_more_at_once_than_its_way_carries() -> None:
     """Each response let eight more messages out: 25 MB of large entries queued up and the link was closed."""
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     late = next(name for name in group.names if name != leader.name)
-    group.trial.cut = lambda start, end: late in (start, end)
+    group.simulation.cut = lambda start, end: late in (start, end)
     for number in range(3):
-        assert group.agreed(value(number, 600_000))
+        assert group.commit(value(number, 600_000))
     group.run(1000.0)
-    before = group.trial.bytes[leader.name]
+    before = group.simulation.bytes[leader.name]
     group.run(5000.0)
     # A follower that does not respond gets only heartbeats.
-    assert group.trial.bytes[leader.name] - before < 100_000, group.trial.bytes[leader.name] - before
+    assert group.simulation.bytes[leader.name] - before < 100_000, (
+        group.simulation.bytes[leader.name] - before
+    )
     assert leader.first <= group.nodes[late].last + 1  # the leader's log still holds all that it lacks
-    group.trial.cut = lambda start, end: False
+    group.simulation.cut = lambda start, end: False
     most = 0
     for _ in range(400):
         group.run(5.0)
@@ -222,13 +228,13 @@
     for transport, most in ((STREAMS, 1000.0), (DATAGRAMS, 3000.0)):
         group = Group("abc", transport)
         for number in range(12):
-            assert group.agreed(value(number, 30_000 if transport is DATAGRAMS else 1_000_000))
+            assert group.commit(value(number, 30_000 if transport is DATAGRAMS else 1_000_000))
         for node in group.nodes.values():
             node._compact(0, 0)
         group.run(500.0)
         group.names.append("d")
         node = group.start("d", newcomer=True)
-        leader = group.led()
+        leader = group.wait_for_leader()
         assert group.run(most, lambda group=group, node=node: is_caught_up(group, node)), (
             node.commit,
             leader.commit,
@@ -241,30 +247,31 @@
 def shows_after_a_long_day_only_a_member_with_the_newest_state_leads() -> None:
     """Members are restarted, wiped and set back in turn, and the leader resigns while each comes back."""
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     old = {name: dict(group.members[name].stored) for name in group.names}
     newest = -1
     for number in range(120):
         newest = number
-        assert group.agreed(value(number))
+        assert group.commit(value(number))
     for turn in range(6):
-        leader = group.led()
+        leader = group.wait_for_leader()
         back = next(name for name in sorted(group.names) if name != leader.name)
         group.kill(back)
         newest += 1
-        assert group.agreed(value(newest))
+        assert group.commit(value(newest))
         if turn % 3 == 1:
             group.members[back].stored = dict(old[back])  # an old copy of its disk
         node = group.start(back, wiped=turn % 3 == 2)
         group.run(20.0 * turn)
-        group.nodes[leader.name].resign(group.trial.now)
-        led = group.led()
+        group.nodes[leader.name].resign(group.simulation.now)
+        led = group.wait_for_leader()
         number = group.propose(led.name, None)
         assert group.run(5000.0, lambda led=led, number=number: number in group.members[led.name].answers)
         assert led.state_machine.values["config"].data.startswith(b"%d " % newest), (turn, led.name)
         assert group.run(
             10_000.0,
-            lambda node=node: group.led().voters().get(node.name) == node.id and is_caught_up(group, node),
+            lambda node=node: group.wait_for_leader().voters().get(node.name) == node.id
+            and is_caught_up(group, node),
         )
 
 
@@ -273,5 +280,5 @@
     for seed in range(300, 316):
         walk = Walk(seed, voters=3 if seed % 3 else 5, value_bytes=12_000)
         walk.run(30)
-        snapshots += sum(node.snapshot is not None for node in walk.trial.cores.values())
+        snapshots += sum(node.snapshot is not None for node in walk.simulation.cores.values())
     assert snapshots > 20, snapshots
--- a/tests/record_leases.py
+++ b/tests/record_leases.py
@@ -24,8 +24,8 @@
     def _seen(self, name: str, effect: object) -> None:
         super()._seen(name, effect)
         match effect:
-            case LogEvent("record_leader", facts) if facts["leader"] == name:
-                node = self.trial.cores[name]
+            case LogEvent("record_leader", fields) if fields["leader"] == name:
+                node = self.simulation.cores[name]
                 self.assumed_until[node.term] = node.earlier_leader_until + QUORUM_FRESH_MS
         self._record_grants()
 
@@ -37,24 +37,26 @@
     def step(self) -> None:
         """Mostly the leader crashes, resigns or is cut off from one other node."""
         leaders = [
-            name for name, node in self.trial.cores.items() if node.leads and name not in self.trial.dead
+            name
+            for name, node in self.simulation.cores.items()
+            if node.is_leader and name not in self.simulation.dead
         ]
         kind = self.random.random()
         if leaders and kind < 0.25:
             self.crash(leaders[0])
         elif leaders and kind < 0.5:
             pair = {leaders[0], self.random.choice(self.voters)}
-            self.trial.cut = lambda start, end: start != end and {start, end} == pair
+            self.simulation.cut = lambda start, end: start != end and {start, end} == pair
         elif leaders and kind < 0.6:
-            self.trial.do(leaders[0], self.trial.cores[leaders[0]].resign(self.trial.now))
+            self.simulation.do(leaders[0], self.simulation.cores[leaders[0]].resign(self.simulation.now))
         else:
             super().step()
 
     def _record_grants(self) -> None:
-        for name, node in self.trial.cores.items():
-            running = name not in self.trial.dead and name not in self.trial.stopped
-            if running and node.fresh(self.trial.now, QUORUM_FRESH_MS):
-                self.last_grant[node.term] = self.trial.now
+        for name, node in self.simulation.cores.items():
+            running = name not in self.simulation.dead and name not in self.simulation.stopped
+            if running and node.has_recent_quorum(self.simulation.now, QUORUM_FRESH_MS):
+                self.last_grant[node.term] = self.simulation.now
         for term, until in self.assumed_until.items():
             for earlier, at in self.last_grant.items():
                 if earlier < term and at > until:
@@ -93,11 +95,11 @@
 def shows_a_leader_that_resigns_counts_as_quiet_from_then_on_only() -> None:
     node = RaftNode("a", 1, ["a"], StoredState("id"), 0.0, 1)
     now = 0.0
-    while not node.leads:
+    while not node.is_leader:
         now += 10.0
         for effect in node.tick(now):
             if isinstance(effect, Persist):
-                node.stored(now, effect.number)
+                node.handle_persisted(now, effect.number)
     assert node._unsupported_ms(now + 700.0) == 0.0
     node.resign(now + 700.0)
     assert node._unsupported_ms(now + 900.0) == 200.0
--- a/tests/record_voters.py
+++ b/tests/record_voters.py
@@ -16,16 +16,16 @@
 def tolerated_failures(leader: RaftNode, group: Group) -> int:
     """How many more failures the voters tolerate: running voters less a majority."""
     voters = leader.voters()
-    live = [name for name in voters if name not in group.trial.dead]
+    live = [name for name in voters if name not in group.simulation.dead]
     return len(live) - (len(voters) // 2 + 1)
 
 
 def replaced(living: bool, lose_newcomer: bool = False) -> tuple[Group, list[int], list[list[str]]]:
     """Replaces one of three voters by a fourth member: failures tolerated with each set of voters."""
     group = Group("abc")
-    group.led()
-    group.agreed(value(0))
-    leader = group.led()
+    group.wait_for_leader()
+    group.commit(value(0))
+    leader = group.wait_for_leader()
     gone = next(name for name in "abc" if name != leader.name)
     if not living:
         group.kill(gone)
@@ -34,7 +34,7 @@
     group.start("d", newcomer=True)
     group.run(1000.0)
     tolerated, sets = [tolerated_failures(leader, group)], [sorted(leader.voters())]
-    group.want(sorted({*"abcd"} - {gone}))
+    group.set_wanted_voters(sorted({*"abcd"} - {gone}))
     for _ in range(1000):
         group.run(5.0)
         if sorted(leader.voters()) != sets[-1]:
@@ -55,36 +55,40 @@
 
 def shows_a_newcomer_lost_while_it_takes_a_dead_voters_place_stops_nothing() -> None:
     group, _, sets = replaced(living=False, lose_newcomer=True)
-    assert group.agreed(value(1)), sets
+    assert group.commit(value(1)), sets
     group, _, sets = replaced(living=True, lose_newcomer=True)
-    assert group.agreed(value(1)), sets
+    assert group.commit(value(1)), sets
 
 
 def shows_a_newcomer_counts_for_the_entry_that_names_it() -> None:
     """If the leaving voter dies once the leader's log names the newcomer, entries must still be committed:
     the newcomer used to accept entries only after it had applied the one that names it."""
     group = Group("abc")
-    leader = group.led()
-    group.agreed(value(0))
+    leader = group.wait_for_leader()
+    group.commit(value(0))
     gone = next(name for name in "abc" if name != leader.name)
     group.names.append("d")
     group.start("d", newcomer=True)
     group.run(1000.0)
-    group.want(sorted({*"abcd"} - {gone}))
+    group.set_wanted_voters(sorted({*"abcd"} - {gone}))
     assert group.run(2000.0, lambda: "d" in leader.voters())
     group.kill(gone)
-    assert group.agreed(value(1))
-    assert group.run(2000.0, lambda: set(group.led().wanted) == set(group.led().voters()))
+    assert group.commit(value(1))
+    assert group.run(
+        2000.0, lambda: set(group.wait_for_leader().wanted_voters) == set(group.wait_for_leader().voters())
+    )
 
 
 def shows_a_newcomer_is_added_only_with_all_that_was_agreed_on() -> None:
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     for number in range(40):
-        assert group.agreed(put(f"k{number}", b"v"))
-    leader.wanted = ("a", "b", "c", "d")
+        assert group.commit(put(f"k{number}", b"v"))
+    leader.wanted_voters = ("a", "b", "c", "d")
     for have, joins in ((0, False), (leader.commit - 1, False), (leader.commit, True)):
-        group.trial.do(leader.name, leader.heard(group.trial.now, "d", 1, FetchRequest("folder of d", have)))
+        group.simulation.do(
+            leader.name, leader.heard(group.simulation.now, "d", 1, FetchRequest("folder of d", have))
+        )
         group.run(250.0)
         assert ("d" in leader.voters()) is joins, have
 
@@ -93,15 +97,15 @@
     """Each fetch, one per heartbeat, brought all entries, but by the next heartbeat there were more. The
     newcomer counted as caught up only once no entry came between two fetches: after up to a minute."""
     group = Group("abc")
-    leader, has = group.led(), 0
+    leader, has = group.wait_for_leader(), 0
     group.run(300.0)
-    leader.wanted = ("a", "b", "c", "d")
+    leader.wanted_voters = ("a", "b", "c", "d")
     for number in range(6):
         fetch = FetchRequest("folder of d", has)
         has = leader.commit
-        group.trial.do(leader.name, leader.heard(group.trial.now, "d", 1, fetch))
+        group.simulation.do(leader.name, leader.heard(group.simulation.now, "d", 1, fetch))
         for more in range(3):
-            assert group.agreed(put(f"k{number}-{more}", b"v"))
+            assert group.commit(put(f"k{number}-{more}", b"v"))
         group.run(100.0)
         if "d" in leader.voters():
             break
@@ -115,9 +119,9 @@
         now += ELECTION_TIMEOUT + 1.0
         one = one.fetched(now, at * 100, at * 100 + 50, (at + 1) * 100)
         assert not one.caught_up
-    quick = one.fetched(now + 100.0, one.goal, one.goal + 50, one.goal + 80)
+    quick = one.fetched(now + 100.0, one.round_end, one.round_end + 50, one.round_end + 80)
     assert quick.caught_up
-    behind = (quick.goal - 1, quick.goal + 90, quick.goal + 99)
+    behind = (quick.round_end - 1, quick.round_end + 90, quick.round_end + 99)
     assert quick.fetched(now + 200.0, *behind).caught_up
     assert not quick.fetched(now + 101.0 + ELECTION_TIMEOUT, *behind).caught_up
 
@@ -125,8 +129,8 @@
 def shows_a_removed_voter_learns_of_it_and_goes_on_reading() -> None:
     """A removed voter used to start elections for ever among voters that ignored it, with outdated state."""
     group, _, _ = replaced(living=True)
-    gone = next(name for name in "abc" if name not in group.led().voters())
-    assert group.agreed(value(7))
+    gone = next(name for name in "abc" if name not in group.wait_for_leader().voters())
+    assert group.commit(value(7))
     node = group.nodes[gone]
     assert group.run(3000.0, lambda: node.state_machine.values["config"].data.startswith(b"7 "))
     assert gone not in node.voters()
@@ -136,13 +140,13 @@
     """At the first answer from another process that had just started it discarded its state, and by the
     configured names took itself for a voter with an empty log."""
     group, _, _ = replaced(living=True)
-    gone = next(name for name in "abc" if name not in group.led().voters())
+    gone = next(name for name in "abc" if name not in group.wait_for_leader().voters())
     assert group.run(5000.0, lambda: gone not in group.nodes[gone].voters())
     group.kill(gone)
     node = group.start(gone)
     last = node.last
     assert node.standing is Standing.LEARNER and last > 0
-    group.trial.do(gone, node.heard(group.trial.now, "d", 1, FetchResponse(0, 1, 0)))
+    group.simulation.do(gone, node.heard(group.simulation.now, "d", 1, FetchResponse(0, 1, 0)))
     for _ in range(400):
         group.run(5.0)
         assert node.standing is Standing.LEARNER and node.last >= last
@@ -151,60 +155,61 @@
 
 def shows_voters_replaced_one_after_the_other_under_changes_never_lose_one() -> None:
     group = Group("abc")
-    group.led()
+    group.wait_for_leader()
     for turn, new in enumerate("defgh"):
-        leader = group.led()
+        leader = group.wait_for_leader()
         gone = sorted(name for name in leader.voters() if name != leader.name)[0]
         if turn % 2:
             group.kill(gone)
             group.run(500.0)
         group.names.append(new)
         group.start(new, newcomer=True)
-        group.want(sorted({*leader.voters(), new} - {gone}))
+        group.set_wanted_voters(sorted({*leader.voters(), new} - {gone}))
         for number in range(8):
-            assert group.agreed(value(turn * 100 + number))
-        assert group.run(3000.0, lambda new=new: new in (group.led().stable_voters() or {}))
-        assert group.run(3000.0, lambda: len(group.led().voters()) == 3)
+            assert group.commit(value(turn * 100 + number))
+        assert group.run(3000.0, lambda new=new: new in (group.wait_for_leader().stable_voters() or {}))
+        assert group.run(3000.0, lambda: len(group.wait_for_leader().voters()) == 3)
         if not turn % 2:
             group.kill(gone)
-    assert group.led().state_machine.values["config"].data.startswith(b"407 ")
+    assert group.wait_for_leader().state_machine.values["config"].data.startswith(b"407 ")
 
 
 def shows_a_restarted_voter_is_not_made_a_stranger_by_a_member_that_is_behind() -> None:
     """A new voter restarted and asked a member that had been stopped since before it was added. That member
     knew other voters, and the new voter discarded its folder; two such voters lost the majority."""
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     asleep, gone = (name for name in "abc" if name != leader.name)
     group.names += ["d", "e"]
     for new in "de":
         group.start(new, newcomer=True)
-    group.want(sorted({leader.name, gone, "d"}))
+    group.set_wanted_voters(sorted({leader.name, gone, "d"}))
     assert group.run(5000.0, lambda: set(leader.voters()) == {leader.name, gone, "d"})
     assert group.run(5000.0, lambda: asleep not in group.nodes[asleep].voters())
-    group.trial.stop(asleep)
+    group.simulation.stop(asleep)
     group.kill(gone)
-    group.want(sorted({leader.name, "d", "e"}))
+    group.set_wanted_voters(sorted({leader.name, "d", "e"}))
     assert group.run(5000.0, lambda: set(leader.voters()) == {leader.name, "d", "e"})
-    assert group.agreed(value(1)) and group.run(500.0, lambda: is_caught_up(group, group.nodes["e"]))
+    assert group.commit(value(1)) and group.run(500.0, lambda: is_caught_up(group, group.nodes["e"]))
     group.kill("e")
-    group.trial.cut = lambda start, end: leader.name in (start, end)  # the leader can't tell it the voters
-    group.trial.go_on(asleep)
+    # The leader can't tell it the voters.
+    group.simulation.cut = lambda start, end: leader.name in (start, end)
+    group.simulation.go_on(asleep)
     id = group.nodes["e"].id
     node = group.start("e")
     group.run(3000.0)
     assert node.standing is Standing.VOTING and node.id == id
-    assert group.agreed(value(2))
+    assert group.commit(value(2))
 
 
 def shows_many_reads_at_once_cost_few_rounds_and_no_writes() -> None:
     """Each read caused a heartbeat round of its own, and each heartbeat a write at each follower: hundreds of
     reads in flight filled the disk queues faster than they drained, and nothing was committed any more."""
     group = Group("abc")
-    leader = group.led()
-    assert group.agreed(value(0))
-    seen, stores = group.trial.seen, []
-    group.trial.seen = lambda name, effect: (
+    leader = group.wait_for_leader()
+    assert group.commit(value(0))
+    seen, stores = group.simulation.seen, []
+    group.simulation.seen = lambda name, effect: (
         stores.append(effect) if isinstance(effect, Persist) else None,
         seen(name, effect),
     )
@@ -225,14 +230,14 @@
     def step(self) -> None:
         if self.random.random() < 0.4:
             wanted = tuple(self.random.sample(self.names, len(self.voters)))
-            for node in self.trial.cores.values():
-                node.wanted = wanted
+            for node in self.simulation.cores.values():
+                node.wanted_voters = wanted
         super().step()
 
     def start(self, name: str) -> None:
         super().start(name)
-        self.trial.cores[name].around = tuple(self.names)
-        self.trial.cores[name].wanted = next(iter(self.trial.cores.values())).wanted
+        self.simulation.cores[name].known_members = tuple(self.names)
+        self.simulation.cores[name].wanted_voters = next(iter(self.simulation.cores.values())).wanted_voters
 
 
 class ChangesBeforeCommit(RaftNode):
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -456,7 +456,7 @@
                 if not {sender, to} & self.deaf:
                     self.do(to, self.all[to].heard(self.now, sender, 1, word))
             for name, record in self.all.items():
-                record.around = tuple(self.all)
+                record.known_members = tuple(self.all)
                 if self.now >= record.due and name not in self.deaf:
                     self.do(name, record.tick(self.now))
         return until()
@@ -466,10 +466,10 @@
             if isinstance(effect, Send):
                 self.words.append((name, effect.to, effect.message))
             elif isinstance(effect, Persist):
-                self.do(name, self.all[name].stored(self.now, effect.number))
+                self.do(name, self.all[name].handle_persisted(self.now, effect.number))
 
     def leader(self) -> RaftNode | None:
-        return next((one for name, one in self.all.items() if one.leads and name not in self.deaf), None)
+        return next((one for name, one in self.all.items() if one.is_leader and name not in self.deaf), None)
 
 
 def shows_a_voter_that_is_gone_is_replaced_by_a_newcomer_and_never_votes_again_by_itself() -> None:
@@ -482,9 +482,9 @@
     fleet.deaf.add(gone)
     fleet.add("d", [leader.name], True)
     assert not fleet.all["d"].voters().get("d")
-    leader.wanted = tuple(sorted({*"abcd"} - {gone}))
+    leader.wanted_voters = tuple(sorted({*"abcd"} - {gone}))
     assert fleet.run(5000.0, lambda: "d" in (leader.stable_voters() or {}))
-    assert set(leader.stable_voters()) == set(leader.wanted)
+    assert set(leader.stable_voters()) == set(leader.wanted_voters)
     # Two of the new three agree, with the old one's vote counting for nothing.
     third = next(name for name in "abc" if name not in (gone, leader.name))
     assert fleet.run(2000.0, lambda: fleet.all["d"].standing is Standing.VOTING)
@@ -494,7 +494,7 @@
     assert fleet.run(2000.0, lambda: leader.state_machine.values.get("k") is not None), number
     fleet.deaf = set()
     old = fleet.all[gone]
-    fleet.do(gone, old.outvoted(fleet.now))
+    fleet.do(gone, old.handle_voted_out(fleet.now))
     assert old.standing is Standing.REPLACED and old.id != f"folder of {gone}"
     assert fleet.run(
         3000.0, lambda: old.state_machine.values.get("k") is not None
@@ -506,9 +506,9 @@
     fleet = Voters("abc")
     assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().stable_voters()))
     leader = fleet.leader()
-    assert fleet.run(300.0, lambda: leader.fresh(fleet.now, QUORUM_FRESH_MS))
+    assert fleet.run(300.0, lambda: leader.has_recent_quorum(fleet.now, QUORUM_FRESH_MS))
     coordinator = Coordinator(1200.0)
-    coordinator.majority_is_recent = lambda now: leader.fresh(now, QUORUM_FRESH_MS)
+    coordinator.majority_is_recent = lambda now: leader.has_recent_quorum(now, QUORUM_FRESH_MS)
     coordinator.become_leader(fleet.now, leader.term)
     coordinator.roster_changed(fleet.now, ["a", "b"])
     place = {"role": "store", "zone": "z", "node": "n"}
@@ -520,7 +520,7 @@
     fleet.deaf.add(leader.name)
     for _ in range(90):  # it hears nobody, and takes nobody for gone either
         fleet.run(10.0)
-        if leader.leads:
+        if leader.is_leader:
             fleet.do(leader.name, leader.tick(fleet.now))
         told = coordinator.tick(fleet.now)
         assert coordinator.view.number == number and not [one for one in told if isinstance(one, SendUpdate)]
@@ -531,7 +531,7 @@
     fleet = Voters("abc")
     assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().stable_voters()))
     fleet.run(300.0)
-    wiped, *rest = sorted(fleet.all, key=lambda name: not fleet.all[name].leads)
+    wiped, *rest = sorted(fleet.all, key=lambda name: not fleet.all[name].is_leader)
     fleet.words = []
     for name in rest:
         old = fleet.all[name]
