--- a/sableford/edge/gateway.py
+++ b/sableford/edge/gateway.py
@@ -172,7 +172,7 @@
                 timeout_ms = min(PUT_TIMEOUT_MS, max(MIN_PUT_TIMEOUT_MS, until - self.runtime.now()))
                 outcome, reason = outcome_of(await link.call(put, request.body, timeout_ms))
                 progress.add(outcome)
-                if progress.kept:
+                if progress.stored:
                     self._availability.accepted(put.shard)
                     return HttpResponse(202, b"", (("Message-Ref", put.ref),))
                 self._record_refusal(put, reason)
--- a/sableford/edge/message_queries.py
+++ b/sableford/edge/message_queries.py
@@ -58,8 +58,8 @@
         try:
             check_single_fields(request)
             tenant = authenticate_reader(request, self.table)
-        except FieldError as problem:
-            return HttpResponse(400, orjson.dumps({"reason": str(problem)}))
+        except FieldError as error:
+            return HttpResponse(400, orjson.dumps({"reason": str(error)}))
         except UnauthorizedError:
             return unauthorized()
         return None if tenant_tag(tenant) == tag else NO_MESSAGE
@@ -121,7 +121,7 @@
                 if result.message is None or result.message.ref not in ("", ref):
                     continue
                 if result.message.found:
-                    return HttpResponse(200, result.body, kind="application/octet-stream")
+                    return HttpResponse(200, result.body, content_type="application/octet-stream")
                 missing_count += self._is_complete(name, link)
             if missing_count >= max(1, self._sufficient_count()):
                 return NO_MESSAGE
--- a/sableford/edge/put_progress.py
+++ b/sableford/edge/put_progress.py
@@ -19,22 +19,22 @@
 class PutOutcome(Enum):
     """The outcome of one put."""
 
-    KEPT = "on enough disks"
-    NOT_TAKEN = "not kept, and never will be by this put"
+    STORED = "on enough disks"
+    NOT_STORED = "not kept, and never will be by this put"
     UNCLEAR = "may be kept"
 
 
 def outcome_of(result: CallResult[PutResponse]) -> tuple[PutOutcome, str]:
     """The outcome that a call result proves, and the reason if the put was refused."""
     if result.execution is Execution.NOT_RUN:
-        return PutOutcome.NOT_TAKEN, ""
+        return PutOutcome.NOT_STORED, ""
     response = result.message
     if result.execution is not Execution.DONE or response is None:
         return PutOutcome.UNCLEAR, ""
     if response.kept:
-        return PutOutcome.KEPT, ""
+        return PutOutcome.STORED, ""
     if response.refusal and not response.maybe_kept:
-        return PutOutcome.NOT_TAKEN, response.refusal
+        return PutOutcome.NOT_STORED, response.refusal
     return PutOutcome.UNCLEAR, response.refusal
 
 
@@ -44,15 +44,15 @@
     `unclear` is never reset: a later refusal says nothing about an earlier put."""
 
     def __init__(self) -> None:
-        self.kept = self.unclear = False
+        self.stored = self.unclear = False
 
     def add(self, outcome: PutOutcome) -> None:
         """Records the outcome of one more put."""
-        self.kept = self.kept or outcome is PutOutcome.KEPT
+        self.stored = self.stored or outcome is PutOutcome.STORED
         self.unclear = self.unclear or outcome is PutOutcome.UNCLEAR
 
     def status(self) -> int:
         """The HTTP status for the client once no further put is tried."""
-        if self.kept:
+        if self.stored:
             return 202
         return 504 if self.unclear else 503
--- a/sableford/transport/http.py
+++ b/sableford/transport/http.py
@@ -8,12 +8,12 @@
 
 
 class HttpResponse(NamedTuple):
-    """A complete response; `kind` is its content type."""
+    """A complete response; `content_type` is that of the body."""
 
     status: int
     body: bytes = b""
     headers: tuple[tuple[str, str], ...] = ()
-    kind: str = "application/json"
+    content_type: str = "application/json"
 
 
 class ConnectionLimits:
@@ -28,23 +28,24 @@
 class HttpRequest:
     """A complete request. `headers` have lower-case names; trailers are not included."""
 
-    __slots__ = ("body", "headers", "keep", "method", "target")
+    __slots__ = ("body", "headers", "keep_alive", "method", "target")
 
     def __init__(
-        self, method: str, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes, keep: bool
+        self, method: str, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes, keep_alive: bool
     ) -> None:
-        self.method, self.target, self.headers, self.body, self.keep = method, target, headers, body, keep
+        self.method, self.target, self.headers = method, target, headers
+        self.body, self.keep_alive = body, keep_alive
 
     def get(self, name: bytes) -> str | None:
         """The first value of a header, or None. `name` is lower case."""
-        for given, value in self.headers:
-            if given == name:
+        for header, value in self.headers:
+            if header == name:
                 return value.decode("latin-1")
         return None
 
     def count(self, name: bytes) -> int:
         """How often a header occurs."""
-        return sum(given == name for given, _ in self.headers)
+        return sum(header == name for header, _ in self.headers)
 
     @property
     def path(self) -> str:
@@ -55,24 +56,24 @@
 Handler = Callable[[HttpRequest], HttpResponse | Awaitable[HttpResponse]]
 
 
-def answer_bytes(answer: HttpResponse, keep: bool, method: str = "GET") -> bytes:
+def encode_response(response: HttpResponse, keep_alive: bool, method: str = "GET") -> bytes:
     """Encodes a response; without its body for HEAD and for statuses that have none.
 
-    >>> answer_bytes(HttpResponse(204, b"left out"), True)
+    >>> encode_response(HttpResponse(204, b"left out"), True)
     b'HTTP/1.1 204 No Content\\r\\n\\r\\n'
     """
     try:
-        phrase = HTTPStatus(answer.status).phrase
+        phrase = HTTPStatus(response.status).phrase
     except ValueError:
         phrase = "Other"
-    lines = [f"HTTP/1.1 {answer.status} {phrase}"]
-    bodiless = answer.status in BODILESS
+    lines = [f"HTTP/1.1 {response.status} {phrase}"]
+    bodiless = response.status in BODILESS
     if not bodiless:
-        lines.append(f"Content-Length: {len(answer.body)}")
-        if answer.body:
-            lines.append(f"Content-Type: {answer.kind}")
-    lines += [f"{name}: {value}" for name, value in answer.headers]
-    if not keep:
+        lines.append(f"Content-Length: {len(response.body)}")
+        if response.body:
+            lines.append(f"Content-Type: {response.content_type}")
+    lines += [f"{name}: {value}" for name, value in response.headers]
+    if not keep_alive:
         lines.append("Connection: close")
     head = "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n"
-    return head if bodiless or method == "HEAD" else head + answer.body
+    return head if bodiless or method == "HEAD" else head + response.body
--- a/sableford/transport/http_server.py
+++ b/sableford/transport/http_server.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from sableford.transport.http import ConnectionLimits, Handler, HttpRequest, HttpResponse, answer_bytes
+from sableford.transport.http import ConnectionLimits, Handler, HttpRequest, HttpResponse, encode_response
 
 SWEEP_S = 0.5  # between two checks for idle and slow connections
 MAX_QUEUED = 16  # pipelined requests of a connection; with more of them reading pauses
@@ -196,12 +196,12 @@
 
     def on_message_complete(self) -> None:
         method = self._parser.get_method().decode("latin-1")
-        keep = self._parser.should_keep_alive()
+        keep_alive = self._parser.should_keep_alive()
         body = b"".join(self._body_parts)
-        self._queued.append(HttpRequest(method, self._url, self._header_list, body, keep))
+        self._queued.append(HttpRequest(method, self._url, self._header_list, body, keep_alive))
         self._queued_bytes += len(body)
         self._receiving = False
-        if not keep:
+        if not keep_alive:
             self._input_ended = True
         if self._task is None:
             self._handle_queued()
@@ -227,7 +227,7 @@
             if not isinstance(answer, HttpResponse):
                 self._task = self._loop.create_task(self._respond_later(answer, request))
                 return
-            if not self._write(answer, request.keep, request.method):
+            if not self._write(answer, request.keep_alive, request.method):
                 return
         if not self._closed and not self._queued:
             self._finish_queue()
@@ -250,7 +250,7 @@
             self._handler_failed(problem)
             return
         self._task = None
-        if self._write(response, request.keep, request.method):
+        if self._write(response, request.keep_alive, request.method):
             self._handle_queued()
 
     def _handler_failed(self, problem: Exception) -> None:
@@ -258,15 +258,15 @@
         self._loop.call_exception_handler({"message": "a request failed", "exception": problem})
         self._write(HttpResponse(500), False)
 
-    def _write(self, answer: HttpResponse, keep: bool, method: str = "") -> bool:
+    def _write(self, answer: HttpResponse, keep_alive: bool, method: str = "") -> bool:
         """Writes a response; returns whether the connection stays open."""
-        keep = keep and not self.server.bounds.closing
+        keep_alive = keep_alive and not self.server.bounds.closing
         if self._closed or self.transport.is_closing():
             return False
-        self.transport.write(answer_bytes(answer, keep, method))
-        if not keep:
+        self.transport.write(encode_response(answer, keep_alive, method))
+        if not keep_alive:
             self._close()
-        return keep
+        return keep_alive
 
     def _close(self) -> None:
         self._closed, self._state_since = True, self._loop.time()
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -79,7 +79,7 @@
     return link, attached(link)
 
 
-def shows_an_answer_meets_only_the_call_that_it_names() -> None:
+def shows_a_response_completes_only_the_call_that_it_names() -> None:
     async def scene(loop) -> None:
         link, transport = link_of()
         other, _ = link_of()
@@ -97,7 +97,7 @@
     simulated(scene)
 
 
-def shows_an_answer_that_comes_too_late_meets_no_later_call() -> None:
+def shows_a_late_response_does_not_complete_a_later_call() -> None:
     """A store stalls beyond the time-out of a call; its response arrives while the next call is pending."""
 
     async def scene(loop) -> None:
@@ -119,7 +119,7 @@
     simulated(scene)
 
 
-def shows_a_call_says_whether_it_was_ever_handed_to_its_connection() -> None:
+def shows_a_call_result_tells_whether_the_call_was_written_to_its_connection() -> None:
     async def scene(loop) -> None:
         link, transport = link_of()
         pending = link.request(ASK)
@@ -135,7 +135,7 @@
     simulated(scene)
 
 
-def shows_a_message_that_cannot_be_read_ends_its_link_and_no_other() -> None:
+def shows_an_unreadable_message_closes_its_link_and_no_other() -> None:
     """Numbers of the wrong type or out of range; an operation that is not a string; wrong lengths."""
     bad = [
         frame({"a": [1]}), frame({"a": True}), frame({"a": 1.0}), frame({"q": {}, "op": "x"}),
@@ -157,7 +157,7 @@
     simulated(scene)
 
 
-def shows_a_message_whose_handling_fails_is_said_and_nothing_after_it_is_applied() -> None:
+def shows_a_message_whose_handler_fails_is_reported_and_no_later_one_is_applied() -> None:
     """An update that can't be applied must not be followed by updates that depend on it."""
     received = []
 
@@ -179,7 +179,7 @@
     simulated(scene)
 
 
-def shows_a_call_that_the_other_does_not_know_counts_as_unanswered() -> None:
+def shows_a_call_of_an_operation_unknown_to_the_peer_counts_as_unanswered() -> None:
     """A store of another version, or one that is starting, has done nothing. The caller once took its refusal
     of a "late" message for a confirmation."""
 
@@ -211,7 +211,7 @@
         self.send_response(frame.envelope.call_number, self._hello)
 
 
-def shows_a_link_is_held_only_to_the_process_that_was_dialled() -> None:
+def shows_a_link_is_kept_only_to_the_process_that_was_dialled() -> None:
     """A process with another name or without an incarnation gets no link; a refusal is reported."""
 
     async def scene(loop) -> None:
@@ -239,7 +239,7 @@
     simulated(scene)
 
 
-def shows_a_pending_call_matched_to_the_next_answer_is_found_out() -> None:
+def shows_responses_matched_to_the_wrong_call_are_detected() -> None:
     """Checks the tests above against faulty implementations that match responses by order."""
 
     class MatchesOldest(PendingCalls):
@@ -255,8 +255,8 @@
             return super().resolve(number if number in self._calls else max(self._calls, default=0), frame)
 
     for faulty, test in (
-        (MatchesOldest, shows_an_answer_meets_only_the_call_that_it_names),
-        (MatchesNewest, shows_an_answer_that_comes_too_late_meets_no_later_call),
+        (MatchesOldest, shows_a_response_completes_only_the_call_that_it_names),
+        (MatchesNewest, shows_a_late_response_does_not_complete_a_later_call),
     ):
         assert_detected(faulty, test)
 
@@ -275,7 +275,7 @@
     raise AssertionError(f"{faulty.__name__} was not detected")
 
 
-def shows_what_comes_before_a_hello_is_nobody_s() -> None:
+def shows_messages_before_a_hello_are_not_handled() -> None:
     """A connection without a hello gets no response; nor does one that changes its name."""
 
     async def scene(loop) -> None:
@@ -308,7 +308,7 @@
     simulated(scene)
 
 
-def shows_a_delivery_begins_only_while_its_store_may_begin_it() -> None:
+def shows_a_delivery_starts_only_while_its_store_owns_the_message() -> None:
     """Ownership may be lost after the decision, while the body is read and the worker is dialled."""
     queue = Queue("me", "m", 0, RoutingTable(1, DOC), Choice("z", "me"), 600.0, True)
     state = queue.state
@@ -386,7 +386,7 @@
     return [*replies, *("taken" for one in effects if isinstance(one, WriteMessage))]
 
 
-def shows_a_put_that_may_have_come_before_is_not_taken_anew_on_a_silence() -> None:
+def shows_a_retried_put_is_not_stored_again_while_responses_are_missing() -> None:
     """The first attempt was stored, run and ended by an owner that is gone, and the other store that knows
     the final state is silent. Of three stores one may be lost: two responses are enough, its own included."""
     no, ended = LookupResponse(), LookupResponse(FinalState("complete", "s", "", 0.0))
@@ -399,7 +399,7 @@
     assert put_again({}, live="a") == put_again({"a": None}, live="a") == [unclear]
 
 
-def shows_a_response_of_a_store_without_its_disk_does_not_let_a_put_be_taken_anew() -> None:
+def shows_a_response_of_a_store_without_its_disk_does_not_allow_a_retried_put() -> None:
     """Store a has lost its disk and knows nothing; b, which knows the final state, is silent."""
     no = LookupResponse()
     unclear = PutResponse(refusal="owner", maybe_kept=True)
--- a/tests/closed_shards.py
+++ b/tests/closed_shards.py
@@ -14,7 +14,7 @@
 from sableford.store.messages import RespondToPut
 from sableford.store.queue import Queue
 from sableford.transport.routes import RoutingTable
-from tests.edge_gateway import ScriptedStore, asked, edge
+from tests.edge_gateway import ScriptedStore, make_edge, send
 from tests.memory_network import simulated
 from tests.store_fences import PUT
 
@@ -37,13 +37,13 @@
     return [effect for effect in effects if isinstance(effect, RespondToPut)]
 
 
-def shows_what_may_go_to_any_shard_does_not_wait_for_one_that_is_being_taken_over() -> None:
+def shows_a_put_without_a_key_does_not_wait_for_a_takeover() -> None:
     assert responses(queue_in_partition().put(0.0, PUT, b"x", "edge")) == [
         RespondToPut("edge", REFUSED_OPENING)
     ]
 
 
-def shows_a_put_of_a_key_is_plainly_refused_if_its_shard_does_not_open() -> None:
+def shows_a_put_with_a_key_is_definitely_refused_if_its_shard_does_not_open() -> None:
     """The same holds for a retry of a put that may have been stored, which can go to no other shard."""
     for put in (replace(PUT, key="k"), replace(PUT, is_retry=True)):
         queue = queue_in_partition()
@@ -92,7 +92,7 @@
     assert shards.is_skipped(SKIP_MS - 1.0, 7) and not shards.is_skipped(SKIP_MS, 7)
 
 
-def shows_what_was_seen_of_a_shard_is_forgotten() -> None:
+def shows_observations_of_a_shard_expire() -> None:
     came_back = {"s0": StoreInfo("b", "z"), "s1": StoreInfo("c", "z")}
     for forget in (
         lambda shards: shards.view_changed(replace(two_owners(), live_stores=came_back)),
@@ -107,30 +107,30 @@
         assert not shards.is_closed_for_long(LONG_MS + FORGET_MS + 3.0, 7)
 
 
-def shows_an_edge_puts_what_has_no_key_to_an_open_shard_at_once() -> None:
+def shows_an_edge_sends_a_put_without_a_key_to_an_open_shard_at_once() -> None:
     """All shards of s0 are being taken over; s1 serves its own."""
 
     async def scene() -> tuple[int, float]:
         stores = {"s0": ScriptedStore(*[{"no": "opening"}] * 99), "s1": ScriptedStore(*[{"kept": True}] * 99)}
-        gate, loop = edge(stores), asyncio.get_running_loop()
+        edge, loop = make_edge(stores), asyncio.get_running_loop()
         started_at = loop.time()
         for number in range(20):
             fields = (b"attempt-id", b"%d" % number), (b"deadline-ms", b"4000")
-            assert (await asked(gate, "/b/1", *fields)).status == 202
+            assert (await send(edge, "/b/1", *fields)).status == 202
         return len(stores["s0"].puts), loop.time() - started_at
 
     puts, seconds = simulated(lambda loop: scene())
     assert puts <= 30 and seconds < RETRY_MS / 1000.0, (puts, seconds)
 
 
-def shows_an_edge_refuses_at_once_what_is_of_a_key_whose_shard_stays_closed() -> None:
+def shows_an_edge_refuses_at_once_a_put_whose_shard_stays_closed() -> None:
     async def scene() -> list[float]:
         stores = {"s0": ScriptedStore(*[{"no": "opening"}] * 999)}
-        gate, loop, waits = edge(stores), asyncio.get_running_loop(), []
+        edge, loop, waits = make_edge(stores), asyncio.get_running_loop(), []
         for number in range(8):
             started_at = loop.time()
             fields = (b"attempt-id", b"%d" % number), (b"order-key", b"k"), (b"deadline-ms", b"1500")
-            answer = await asked(gate, "/a/1", *fields)
+            answer = await send(edge, "/a/1", *fields)
             assert answer.status == 503 and "Retry-After" in dict(answer.headers)
             waits.append((loop.time() - started_at) * 1000.0)
         return waits
--- a/tests/configuration_versions.py
+++ b/tests/configuration_versions.py
@@ -18,7 +18,7 @@
 from sableford.transport.http import HttpResponse
 from sableford.transport.routes import RoutingTable
 from tests.control_member import Scene, view
-from tests.edge_gateway import ScriptedStore, asked, edge
+from tests.edge_gateway import ScriptedStore, make_edge, send
 from tests.memory_network import simulated
 from tests.store_fences import PUT, takes_over
 
@@ -50,9 +50,9 @@
     return doc
 
 
-def applied_values(gate: Gateway) -> list[Any]:
+def applied_values(edge: Gateway) -> list[Any]:
     """The values that members derive from the configuration."""
-    table, bounds = gate.table, gate.bounds
+    table, bounds = edge.table, edge.bounds
     route, backend = table.find("h", "/"), table.backends["b"]
     return [
         *(
@@ -85,7 +85,7 @@
     ]
 
 
-def shows_what_is_acknowledged_can_be_applied_by_members_and_means_the_same_there() -> None:
+def shows_an_acknowledged_configuration_is_applied_unchanged_by_members() -> None:
     # CONFIG: a configuration was acknowledged that members could not apply, or interpreted differently.
     async def scene(loop: asyncio.AbstractEventLoop) -> list[str]:
         faults = []
@@ -97,13 +97,13 @@
                         configuration = check(doc)
                     except InvalidRequestError:
                         continue
-                    gate = edge({"s0": ScriptedStore()})
+                    edge = make_edge({"s0": ScriptedStore()})
                     try:
-                        gate.configuration_changed(ConfigurationVersion(2, doc))
+                        edge.configuration_changed(ConfigurationVersion(2, doc))
                     except Exception as problem:
                         faults.append(f"{part}.{field} {value!r}: {problem}")
                         continue
-                    if applied_values(gate) != acknowledged_values(configuration):
+                    if applied_values(edge) != acknowledged_values(configuration):
                         faults.append(f"{part}.{field} {value!r}: means something else at members")
         return faults
 
@@ -119,7 +119,7 @@
     return False
 
 
-def shows_what_is_of_another_type_is_refused_and_a_number_is_taken_however_it_is_written() -> None:
+def shows_values_of_wrong_types_are_refused_and_whole_floats_are_accepted() -> None:
     # CONFIG: "public": "false" was acknowledged, and some JSON encoders write whole numbers as 2.0.
     for field, value in (("public", "false"), ("public", 1), ("rank", "2.0"), ("fifo", "no")):
         assert is_refused(document_with("routes", field, value)), (field, value)
@@ -216,7 +216,7 @@
     assert delivered_to([effect for now in (2010.0, 2040.0) for effect in queue.tick(now, 0.0)]) == ["of-a"]
 
 
-def shows_a_join_alone_prolongs_nothing_that_is_known_of_the_configuration() -> None:
+def shows_a_join_alone_does_not_extend_the_validity_of_the_configuration() -> None:
     # CONFIG: a new leader's response arrived, its snapshot did not; the member used an old version too long.
     async def play() -> None:
         scene = Scene()
@@ -224,15 +224,15 @@
         first = ConfigurationVersion(1, DOC)
         update = Update(term=3, number=1, snapshot=True, view=view(1, "s"), config=first)
         scene.member.apply_update(scene.link, update)
-        gate = edge({"s0": ScriptedStore()})
-        gate.member, gate.runtime.now = scene.member, lambda: scene.clock
-        gate.runtime.settings.rule_bounds = RuleBounds(apply_ms=APPLY_MS, revoke_ms=APPLY_MS)
+        edge = make_edge({"s0": ScriptedStore()})
+        edge.member, edge.runtime.now = scene.member, lambda: scene.clock
+        edge.runtime.settings.rule_bounds = RuleBounds(apply_ms=APPLY_MS, revoke_ms=APPLY_MS)
         acknowledged_at = scene.clock - QUORUM_FRESH_MS  # of version 2, at the earliest, by another leader
         scene.clock += LEASE_MS - 1.0
         await scene.join(term=4)
         assert scene.member.config == first, "the snapshot, with version 2, is on its way"
         scene.clock = acknowledged_at + APPLY_MS
-        answer = asked(gate, "/none", (b"attempt-id", b"id"))
+        answer = send(edge, "/none", (b"attempt-id", b"id"))
         assert isinstance(answer, HttpResponse) and answer.status == 503, answer
 
     asyncio.run(play())
@@ -262,16 +262,16 @@
     asyncio.run(play())
 
 
-def shows_an_edge_keeps_all_of_its_version_where_the_next_can_not_be_read() -> None:
+def shows_an_edge_keeps_its_whole_version_if_the_next_is_unreadable() -> None:
     # CONFIG: an edge used the routes of one version and the limits of another.
     async def scene(loop: asyncio.AbstractEventLoop) -> None:
-        gate = edge({"s0": ScriptedStore()})
-        gate.configuration_changed(ConfigurationVersion(1, document_with("limits", "maxBodyBytes", 10)))
-        before = applied_values(gate)
+        edge = make_edge({"s0": ScriptedStore()})
+        edge.configuration_changed(ConfigurationVersion(1, document_with("limits", "maxBodyBytes", 10)))
+        before = applied_values(edge)
         unreadable = document_with("limits", "maxBodyBytes", 20)
         unreadable["limits"]["idleTimeoutMs"] = "soon"
         with suppress(ValueError):
-            gate.configuration_changed(ConfigurationVersion(2, unreadable))
-        assert (gate.table.revision, applied_values(gate)) == (1, before)
+            edge.configuration_changed(ConfigurationVersion(2, unreadable))
+        assert (edge.table.revision, applied_values(edge)) == (1, before)
 
     simulated(scene)
--- a/tests/control_serving.py
+++ b/tests/control_serving.py
@@ -11,13 +11,13 @@
 from sableford.transport.messages import PeerRequest
 from tests.control_member import STATUS, Silence
 from tests.control_service import call, core
-from tests.edge_gateway import ScriptedStore, asked, edge
+from tests.edge_gateway import ScriptedStore, make_edge, send
 from tests.memory_network import simulated
 
 
 def shows_an_edge_without_a_leader_ends_serving_while_no_newer_version_binds_it() -> None:
     async def scene(apply_ms: float) -> None:
-        gate = edge({"s0": ScriptedStore()})
+        gate = make_edge({"s0": ScriptedStore()})
         gate.runtime.settings.rule_bounds.apply_ms = apply_ms
         gate.runtime.ending = asyncio.Event()
         gate.member.configuration_lease = LEASE_MS  # granted in answer to a renewal sent at 0
@@ -25,9 +25,9 @@
         # once.
         last = apply_ms - QUORUM_FRESH_MS
         gate.runtime.now = lambda: last - 1.0
-        assert gate.is_ready() and asked(gate, "/none/").status == 404
+        assert gate.is_ready() and send(gate, "/none/").status == 404
         gate.runtime.now = lambda: last + 1.0
-        answer = asked(gate, "/none/")
+        answer = send(gate, "/none/")
         assert not gate.is_ready() and answer.status == 503 and dict(answer.headers)["Retry-After"]
 
     for apply_ms in (3000.0, 1500.0, 900.0):
--- a/tests/edge_gateway.py
+++ b/tests/edge_gateway.py
@@ -50,7 +50,7 @@
     return CallResult(Execution.DONE, response.message, response.body)
 
 
-def edge(stores: dict[str, ScriptedStore], silent: tuple[str, ...] = ()) -> Gateway:
+def make_edge(stores: dict[str, ScriptedStore], silent: tuple[str, ...] = ()) -> Gateway:
     """An edge that has not heard from the `silent` stores recently."""
     view = View(
         (1, 1), [sorted(stores)[at % len(stores)] for at in range(SHARDS)], [""] * SHARDS,
@@ -70,15 +70,15 @@
         ),
         member=SimpleNamespace(view=view, configuration_lease=1e9, changed=asyncio.Event()),
     )
-    gate = Gateway(runtime)
-    gate.configuration_changed(ConfigurationVersion(1, DOC))
-    gate.view_changed(view)
-    return gate
+    edge = Gateway(runtime)
+    edge.configuration_changed(ConfigurationVersion(1, DOC))
+    edge.view_changed(view)
+    return edge
 
 
-def asked(gate: Gateway, path: str, *fields: tuple[bytes, bytes], method: str = "POST"):
+def send(edge: Gateway, path: str, *fields: tuple[bytes, bytes], method: str = "POST"):
     """The response to a request, or an awaitable of it."""
-    return gate.handle(HttpRequest(method, path.encode("latin-1"), [(b"host", b"h"), *fields], b"x", True))
+    return edge.handle(HttpRequest(method, path.encode("latin-1"), [(b"host", b"h"), *fields], b"x", True))
 
 
 def status_and_headers(
@@ -90,13 +90,13 @@
         fields = [(b"attempt-id", b"id"), (b"deadline-ms", b"4000")]
         if key:
             fields.append((b"order-key", key.encode()))
-        answer = await asked(edge(stores, silent), "/a/1" if key else "/b/1", *fields)
+        answer = await send(make_edge(stores, silent), "/a/1" if key else "/b/1", *fields)
         return answer.status, dict(answer.headers)
 
     return simulated(lambda loop: scene())
 
 
-def shows_an_edge_holds_to_what_a_put_may_have_come_to() -> None:
+def shows_an_edge_answers_by_the_possible_outcomes_of_a_put() -> None:
     # A store that reaches too few others: the message goes to a shard of another store.
     alone, other = ScriptedStore(*[{"no": "alone"}] * 9), ScriptedStore({"kept": True})
     assert status_and_headers({"s0": alone, "s1": other})[0] == 202
@@ -114,7 +114,7 @@
     assert (status, quiet.puts) == (503, []) and "Retry-After" in headers
 
 
-def shows_a_put_that_was_ever_unclear_is_put_nowhere_else_and_never_refused() -> None:
+def shows_a_put_with_an_unclear_outcome_goes_to_no_other_shard_and_is_never_refused() -> None:
     """All sequences of up to three results: a store that stalls, a link that breaks before or after the
     request, an owner that loses its shard, an unreadable response."""
     unclear = (BROKEN, {"no": "owner", "may": True}, {"may": True}, {}, {"kept": 1})
@@ -142,7 +142,7 @@
     assert status_and_headers({"s0": one, "s1": other})[0] == 504 and not (one.puts and other.puts)
 
 
-def shows_planted_mistakes_of_an_edge_are_found() -> None:
+def shows_faulty_put_progress_is_detected() -> None:
     class UsesLastOutcome(PutProgress):
         """Uses the last outcome only."""
 
@@ -154,18 +154,18 @@
         """Takes a missing response for a refusal."""
 
         def add(self, outcome: PutOutcome) -> None:
-            super().add(PutOutcome.NOT_TAKEN if outcome is PutOutcome.UNCLEAR else outcome)
+            super().add(PutOutcome.NOT_STORED if outcome is PutOutcome.UNCLEAR else outcome)
 
     class UnsentIsUnclear(PutProgress):
         """Takes a put that was not sent for one that may be stored."""
 
         def add(self, outcome: PutOutcome) -> None:
-            super().add(outcome if outcome is PutOutcome.KEPT else PutOutcome.UNCLEAR)
+            super().add(outcome if outcome is PutOutcome.STORED else PutOutcome.UNCLEAR)
 
     for faulty in (UsesLastOutcome, UnclearIsRefused, UnsentIsUnclear):
         gateway.PutProgress = faulty
         try:
-            shows_a_put_that_was_ever_unclear_is_put_nowhere_else_and_never_refused()
+            shows_a_put_with_an_unclear_outcome_goes_to_no_other_shard_and_is_never_refused()
         except AssertionError:
             continue
         finally:
@@ -184,12 +184,12 @@
 
     async def scene() -> HttpResponse:
         stores = {f"s{at}": ScriptedStore(*[answer] * 60) for at, answer in enumerate(answers)}
-        return await asked(edge(stores, silent), f"/v1/message/{REF}", method="GET")
+        return await send(make_edge(stores, silent), f"/v1/message/{REF}", method="GET")
 
     return simulated(lambda loop: scene())
 
 
-def shows_a_message_s_state_is_its_owner_s_word_or_that_of_enough_others() -> None:
+def shows_a_message_state_needs_its_owner_or_enough_other_stores() -> None:
     complete, pending = (200, b'{"phase":"complete","seal":"s"}'), (200, b'{"phase":"pending"}')
     ours = {"ref": REF, "owner": True}
     for answers, silent, expected in (
@@ -218,7 +218,7 @@
 
     async def bytes_of(answers: list) -> HttpResponse:
         stores = {f"s{at}": ScriptedStore(*[answer] * 60) for at, answer in enumerate(answers)}
-        return await asked(edge(stores), f"/v1/message-body/{REF}", method="GET")
+        return await send(make_edge(stores), f"/v1/message-body/{REF}", method="GET")
 
     found, none = {"found": True, "raw": b"xyz"}, {"found": False}
     for answers, expected in (
@@ -230,16 +230,16 @@
         assert answer.status == expected[0] and expected[1] in (None, answer.body), answers
 
 
-def shows_a_store_without_its_disk_does_not_say_that_a_message_is_unknown_or_pending() -> None:
+def shows_a_store_without_its_disk_does_not_prove_a_message_unknown_or_pending() -> None:
     """s0 and s1 had the message, s1 its final state. s0 came back with an empty disk; s1 is cut off."""
 
     def answered(path: str, answers: list, complete: bool, incarnation: str) -> int:
         async def scene() -> HttpResponse:
             stores = {f"s{at}": ScriptedStore(*[answer] * 60) for at, answer in enumerate(answers)}
-            gate = edge(stores)
-            gate.member.view.live_stores["s0"].complete = complete
+            edge = make_edge(stores)
+            edge.member.view.live_stores["s0"].complete = complete
             stores["s0"].incarnation = incarnation
-            return await asked(gate, path + REF, method="GET")
+            return await send(edge, path + REF, method="GET")
 
         return simulated(lambda loop: scene()).status
 
@@ -259,11 +259,11 @@
         assert found == statuses, (complete, incarnation, found)
 
 
-def shows_a_field_with_no_sense_or_two_is_refused_by_its_name() -> None:
+def shows_an_invalid_or_repeated_field_is_refused_by_name() -> None:
     def answer_to(*fields: tuple[bytes, bytes], path: str = "/b/1", method: str = "POST"):
         async def scene(loop) -> tuple[HttpResponse, list[dict]]:
             stores = {"s0": ScriptedStore({"kept": True})}
-            got = asked(edge(stores), path, *fields, method=method)
+            got = send(make_edge(stores), path, *fields, method=method)
             return (got if isinstance(got, HttpResponse) else await got), stores["s0"].puts
 
         return simulated(scene)
--- a/tests/http_calls.py
+++ b/tests/http_calls.py
@@ -54,7 +54,7 @@
         return [request.path for request in self.received]
 
 
-def shows_an_answer_ends_with_the_connection_whose_request_it_is() -> None:
+def shows_a_response_is_discarded_with_the_connection_of_its_request() -> None:
     """A client closes the connection while a request is in flight and another is queued."""
 
     async def scene(loop) -> None:
@@ -76,7 +76,7 @@
     simulated(scene)
 
 
-def shows_pipelined_requests_are_answered_in_order_and_a_bad_one_last() -> None:
+def shows_pipelined_requests_are_answered_in_order_and_a_malformed_one_last() -> None:
     async def scene(loop) -> None:
         calls = Calls()
         one, transport = calls.connect()
@@ -91,7 +91,7 @@
     simulated(scene)
 
 
-def shows_a_caller_that_sends_no_more_still_gets_what_it_asked_for() -> None:
+def shows_a_half_closed_connection_still_gets_its_responses() -> None:
     async def scene(loop) -> None:
         calls = Calls()
         one, transport = calls.connect()
@@ -109,7 +109,7 @@
     simulated(scene)
 
 
-def shows_nothing_smuggled_behind_or_inside_a_request_is_taken_for_one() -> None:
+def shows_smuggled_requests_are_not_handled() -> None:
     inner = request("/smuggled", b"x")
     length, chunks = f"Content-Length: {len(inner)}", "Transfer-Encoding: chunked"
     refused = [
@@ -160,7 +160,7 @@
     simulated(scene)
 
 
-def shows_an_answer_without_a_body_is_no_longer_than_its_head() -> None:
+def shows_a_response_without_a_body_ends_after_its_head() -> None:
     """A body sent after HEAD, 204 or 304 would be parsed as the next response."""
 
     async def scene(loop) -> None:
@@ -175,7 +175,7 @@
     simulated(scene)
 
 
-def shows_a_caller_that_reads_nothing_holds_little_memory_and_is_let_go() -> None:
+def shows_a_client_that_reads_nothing_uses_little_memory_and_is_disconnected() -> None:
     async def scene(loop) -> None:
         calls = Calls()
         calls.server.handle = lambda request: calls.received.append(request) or HttpResponse(
@@ -210,7 +210,7 @@
     simulated(scene)
 
 
-def shows_a_head_or_trailer_without_end_is_refused_while_it_is_small() -> None:
+def shows_an_endless_head_or_trailer_is_refused_early() -> None:
     async def scene(loop) -> None:
         trailer = request("/a", b"0\r\nX: ", "Transfer-Encoding: chunked")
         for begin, status in ((b"POST /a HTTP/1.1\r\nX: ", b"431"), (trailer, b"413")):
@@ -244,7 +244,7 @@
 OWN = answered("Attempt-Id: 7", "Server-Seal: s7", "Content-Length: 2", body=b"ok")
 
 
-def shows_only_a_whole_answer_counts() -> None:
+def shows_only_complete_responses_are_accepted() -> None:
     """Responses that are cut in the head, the body or a chunk, or have a missing or wrong length."""
     chunked, ended = "Transfer-Encoding: chunked", answered("Attempt-Id: 7", "Server-Seal: s7", body=b"all")
 
@@ -282,7 +282,7 @@
     simulated(scene)
 
 
-def shows_an_answer_s_head_is_its_own() -> None:
+def shows_the_headers_of_a_response_are_only_its_own() -> None:
     """It is not mixed with those of interim responses, or with trailers."""
 
     async def scene(loop) -> None:
@@ -314,7 +314,7 @@
     simulated(scene)
 
 
-def shows_a_connection_in_doubt_carries_nothing_more() -> None:
+def shows_a_connection_in_an_uncertain_state_is_not_reused() -> None:
     async def scene(loop) -> None:
         def after(*parts: bytes, waiting: int = 0) -> bool:
             connection = ClientConnection()
@@ -392,7 +392,7 @@
     return client.deliver(MESSAGE, b"x", WORKER, loop.time() * 1000.0 + left_ms, **more)
 
 
-def shows_a_message_is_sent_once_an_attempt_and_its_verdict_says_what_is_proved(
+def shows_a_message_is_sent_once_per_attempt_and_its_verdict_is_proved(
     make: type = DeliveryClient,
 ) -> None:
     """The worker answers, resets, closes, is silent, or answers another message."""
@@ -428,7 +428,7 @@
     simulated(scene)
 
 
-def shows_what_cannot_be_done_in_time_or_is_another_s_by_now_is_not_sent() -> None:
+def shows_a_message_is_not_sent_after_its_deadline_or_without_ownership() -> None:
     async def scene(loop) -> None:
         worker, client = Worker(loop), DeliveryClient()
         loop.dial_ms = 100.0
@@ -442,7 +442,7 @@
     simulated(scene)
 
 
-def shows_an_answer_later_than_its_deadline_meets_no_other_delivery() -> None:
+def shows_a_late_response_does_not_complete_another_delivery() -> None:
     """The worker answers the first message while the second is in flight."""
 
     async def scene(loop) -> None:
@@ -458,7 +458,7 @@
     simulated(scene)
 
 
-def shows_planted_mistakes_of_a_delivery_are_found() -> None:
+def shows_faulty_deliveries_are_detected() -> None:
     class ResendsAfterFailure(DeliveryClient):
         """Sends again after a time-out or a reset."""
 
@@ -485,7 +485,7 @@
 
     for faulty in (ResendsAfterFailure, ReportsNotRun, ReusesBusyConnection):
         try:
-            shows_a_message_is_sent_once_an_attempt_and_its_verdict_says_what_is_proved(faulty)
+            shows_a_message_is_sent_once_per_attempt_and_its_verdict_is_proved(faulty)
         except AssertionError:
             continue
         raise AssertionError(f"{faulty.__name__} was not detected")
--- a/tests/node_signals.py
+++ b/tests/node_signals.py
@@ -46,7 +46,7 @@
 
 
 # A SIGHUP for a changed settings file, sent while the process starts, ended it by its default action.
-def shows_sighup_is_ignored_before_the_first_part_of_the_program_is_loaded() -> None:
+def shows_sighup_is_ignored_before_the_first_module_is_imported() -> None:
     result = subprocess.run(
         [sys.executable, "-c", PRINT_FIRST_IMPORT], capture_output=True, text=True, cwd=ROOT
     )
@@ -55,7 +55,7 @@
 
 # A second SIGTERM ended a closing process with -15 instead of 0: on exit the interpreter resets signals with
 # a handler to their default action, but leaves ignored ones ignored.
-def shows_signals_that_come_after_the_end_leave_its_exit_code_as_it_is() -> None:
+def shows_signals_after_the_shutdown_do_not_change_the_exit_code() -> None:
     port = free_port()
     settings = {"nodeName": "e", "bindIp": HOST, "zone": "z", "portRange": [port, port]}
     command = [sys.executable, "-c", RUN_AND_END, json.dumps(settings)]
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -346,7 +346,7 @@
 
 
 def visited(
-    parts: list[bytes], handle=lambda request: HttpResponse(200, request.body, kind="text/plain")
+    parts: list[bytes], handle=lambda request: HttpResponse(200, request.body, content_type="text/plain")
 ) -> tuple[bytes, bool]:
     async def visit() -> tuple[bytes, bool]:
         bounds = ConnectionLimits()
--- a/tests/tenant_configuration.py
+++ b/tests/tenant_configuration.py
@@ -19,7 +19,7 @@
 from sableford.control.view import message_ref
 from sableford.edge.gateway import Gateway
 from sableford.transport.http_server import ServerConnection
-from tests.edge_gateway import NOTHING, ScriptedStore, edge
+from tests.edge_gateway import NOTHING, ScriptedStore, make_edge
 from tests.memory_network import MemoryTransport, attached, simulated
 
 KEY, LATER_KEY, OTHER_KEY = "key-of-a", "later-key-of-a", "key-of-b"
@@ -51,7 +51,7 @@
 
     def __init__(self, first: Document) -> None:
         self.store = ScriptedStore(*[{"kept": True}] * 9)
-        self.gate: Gateway = edge({"s0": self.store})
+        self.gate: Gateway = make_edge({"s0": self.store})
         self.gate.runtime.settings.rule_bounds = RuleBounds(apply_ms=APPLY_MS, revoke_ms=REVOKE_MS)
         self.configure(first)
         self._transport: MemoryTransport = attached(ServerConnection(self.gate._server))
--- a/tests/tenant_delivery.py
+++ b/tests/tenant_delivery.py
@@ -31,7 +31,7 @@
 from sableford.transport.messages import PeerMessage, PeerRequest
 from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
-from tests.edge_gateway import ScriptedStore, edge
+from tests.edge_gateway import ScriptedStore, make_edge
 from tests.memory_network import attached, simulated
 
 FIFO, PLAIN, PUBLIC = "/a/1", "/b/1", "/p/1"  # paths of the routes below
@@ -107,7 +107,7 @@
 
     async def visit(loop: asyncio.AbstractEventLoop) -> Scene:
         scene = Scene()
-        gate = edge({"s0": TakingStore(scene)})
+        gate = make_edge({"s0": TakingStore(scene)})
         gate.log = gate.runtime.log = SimpleNamespace(
             event=lambda name, /, **fields: scene.log.append(f"{name} {fields!r}")
         )
--- a/tests/tenant_routes.py
+++ b/tests/tenant_routes.py
@@ -10,7 +10,7 @@
 from sableford.simulation.stores import DOC
 from sableford.transport.http import HttpResponse
 from sableford.transport.routes import RoutingTable
-from tests.edge_gateway import ScriptedStore, asked, edge
+from tests.edge_gateway import ScriptedStore, make_edge, send
 from tests.memory_network import simulated
 
 KEY, OTHER_KEY, UNKNOWN_KEY = b"k-7f3aQ91c2", b"z-55d0W2e8b", b"k-0000nobody"
@@ -66,18 +66,18 @@
 
         async def scene() -> tuple[HttpResponse, ScriptedStore]:
             store = ScriptedStore(*[{"kept": True}] * 4)
-            gate = edge({"s0": store})
-            self._configure(gate, document)
-            gate.member.configuration_lease = lease
-            result = asked(gate, path, *fields)
+            edge = make_edge({"s0": store})
+            self._configure(edge, document)
+            edge.member.configuration_lease = lease
+            result = send(edge, path, *fields)
             return (result if isinstance(result, HttpResponse) else await result), store
 
         self.answer, store = simulated(lambda loop: scene())
         self.status, self.puts = self.answer.status, store.puts
 
-    def _configure(self, gate: Gateway, document: dict) -> None:
-        gate.log.event = lambda name, /, **fields: self.lines.append(f"{name} {fields}")
-        gate.configuration_changed(ConfigurationVersion(2, document))
+    def _configure(self, edge: Gateway, document: dict) -> None:
+        edge.log.event = lambda name, /, **fields: self.lines.append(f"{name} {fields}")
+        edge.configuration_changed(ConfigurationVersion(2, document))
 
 
 def with_key(value: bytes | None) -> tuple[tuple[bytes, bytes], ...]:
@@ -137,7 +137,7 @@
 
 
 # Guards against ROUTE: a key is checked against a configuration that may be outdated.
-def shows_no_key_is_judged_where_the_configuration_is_not_known_for_certain() -> None:
+def shows_no_key_is_checked_while_the_configuration_may_be_outdated() -> None:
     for value in (None, b"Token " + UNKNOWN_KEY, b"Token " + KEY):
         for path in (*CLOSED_PATHS, PUBLIC_PATH, UNKNOWN_PATH):
             result = Result(path, *with_key(value), lease=-1e9)
@@ -145,7 +145,7 @@
 
 
 # Guards against an unauthorized request getting details about its other fields.
-def shows_a_key_is_looked_at_before_the_other_fields() -> None:
+def shows_a_key_is_checked_before_the_other_fields() -> None:
     for fields in ((), (ID, (b"delay-ms", b"nan")), (ID, (b"deadline-ms", b"-1"))):
         refused = Result(CLOSED_PATHS[0], *fields, (b"authorization", b"Token " + UNKNOWN_KEY))
         assert (refused.status, refused.puts) == (401, []), (fields, refused.status)
@@ -197,7 +197,7 @@
 
 
 # Guards against a 401 without the scheme to use (RFC 9110, 11.6.1).
-def shows_a_refused_key_is_told_which_scheme_is_wanted() -> None:
+def shows_a_401_response_names_the_required_scheme() -> None:
     for value in UNACCEPTED:
         result = Result(CLOSED_PATHS[0], *with_key(value))
         assert result.status == 401, (value, result.status)
--- a/tests/wire_compatibility.py
+++ b/tests/wire_compatibility.py
@@ -98,7 +98,7 @@
     raise AssertionError("it was taken for a response")
 
 
-def shows_messages_whose_fields_all_say_something_have_the_bytes_that_they_had() -> None:
+def shows_messages_without_default_values_have_the_same_bytes() -> None:
     same = 0
     for recorded in RECORDED["messages"]:
         frame = frame_of(recorded["frame"])
