--- a/sableford/consensus/raft_state.py
+++ b/sableford/consensus/raft_state.py
@@ -156,8 +156,9 @@
     ) -> None:
         """`voters`: the configured names; the first leader records their ids. `max_value_bytes`: the largest
         value that the transport carries. `newcomer`: the folder is empty and the log already exists
-        elsewhere; the process votes once the others have added it. `startup_answer_timeout`: ms to wait for all voters'
-        answers to the startup question; then a majority is enough. `transport`: batch and window sizes."""
+        elsewhere; the process votes once the others have added it. `startup_answer_timeout`: ms to wait for
+        all voters' answers to the startup question; then a majority is enough. `transport`: batch and window
+        sizes."""
         self._transport = transport
         self.name, self.incarnation, self.id, self._max_value_bytes = (
             name,
--- a/sableford/simhost/wire.py
+++ b/sableford/simhost/wire.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's wire, read and written whole."""
+"""Frames of the simulator protocol."""
 
 from struct import Struct
 from typing import BinaryIO
@@ -46,11 +46,11 @@
 
 
 class Malformed(Exception):
-    """The other side broke the wire."""
+    """The simulator violated the protocol."""
 
 
 class Frame:
-    """One batch: its clock, its records and their tail."""
+    """A batch of events: clock, fixed-size records, and a tail with variable-size data."""
 
     def __init__(self, count: int, clock: float, body: bytes) -> None:
         self.count, self.clock, self.body = count, clock, body
@@ -67,7 +67,7 @@
 
 
 def read_frame(source: BinaryIO) -> Frame | None:
-    """The next batch, or none where the input ends."""
+    """Returns the next batch, or None at the end of the input."""
     head = source.read(HEAD.size)
     if not head:
         return None
@@ -83,7 +83,7 @@
 
 
 class Reply:
-    """The actions of one reply."""
+    """Encodes the actions of one reply."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
@@ -110,15 +110,15 @@
     def check(self, inst: int, worker: int) -> None:
         self._records.append(_check(22, inst, worker))
 
-    def write_peers(self, inst: int, peers: tuple[int, ...], word: bytes) -> None:
-        at = len(self._tail)
-        self._records += [_write_peer(27, inst, peer, at, len(word)) for peer in peers]
-        self._tail += word
+    def write_peers(self, inst: int, peers: tuple[int, ...], message: bytes) -> None:
+        offset = len(self._tail)
+        self._records += [_write_peer(27, inst, peer, offset, len(message)) for peer in peers]
+        self._tail += message
 
     def fault(self, inst: int, text: str) -> None:
-        told = text.encode()
-        self._records.append(_fault(21, inst, len(self._tail), len(told)))
-        self._tail += told
+        encoded = text.encode()
+        self._records.append(_fault(21, inst, len(self._tail), len(encoded)))
+        self._tail += encoded
 
     def packed(self) -> bytes:
         body = b"".join(self._records) + self._tail
--- a/sableford/simulation/consensus/growth.py
+++ b/sableford/simulation/consensus/growth.py
@@ -77,15 +77,15 @@
             name,
             self._incarnations,
             self.names,
-            member.storage.held,
+            member.storage.stored_state,
             self.simulation.now,
             7,
             max_value_bytes=MAX_VALUE_BYTES,
             newcomer=wiped or newcomer,
             transport=self.transport,
         )
-        if member.storage.fresh:
-            member.write(member.storage.begin(self.names))
+        if member.storage.is_new:
+            member.write(member.storage.initial_write(self.names))
         node.known_members = tuple(self.members)
         for other in self.nodes.values():
             other.known_members = tuple(self.members)
@@ -155,8 +155,8 @@
                 self.simulation.now + 1000.0, name, lambda: self.simulation.do(name, node.rewrite())
             )
             return
-        member.write(member.storage.puts(store.writes, store.number))
-        member.storage.kept(store.number)
+        member.write(member.storage.make_write(store.writes, store.number))
+        member.storage.write_succeeded(store.number)
         self.simulation.do(name, node.handle_persisted(self.simulation.now, store.number))
 
 
--- a/sableford/store/choice.py
+++ b/sableford/store/choice.py
@@ -2,14 +2,14 @@
 
 A worker's estimate is its reported figure (what the other stores last said to have in flight there) plus
 own sends less own completions. The rotation and the local bound are the module's
-(`sableford.policy.bound`); what is asked for anew are copies that break it. Departures, each with its
+(`sableford.policy.local_bound`); what is asked for anew are copies that break it. Departures, each with its
 condition, stand in `docs/design.md`.
 """
 
 from typing import NamedTuple
 
-from sableford.policy.bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, breaks, point, within
-from sableford.transport.routes import Table
+from sableford.policy.local_bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, hash32, pick_within, violations
+from sableford.transport.routes import RoutingTable
 
 CROSSING = 1.0  # jobs added to a worker in another zone: a body that crosses costs 2% of its worth
 SLACK = 0.5  # jobs that a copy may be off before a worker counts as full
@@ -79,7 +79,7 @@
 
     def _chance(self, ends: int) -> int:
         self._draws += 1
-        return point(f"{self._seed}:{self._draws}".encode()) * ends >> 32
+        return hash32(f"{self._seed}:{self._draws}".encode()) * ends >> 32
 
     # The list
 
@@ -107,7 +107,7 @@
         for id in [id for id, one in self.workers.items() if id not in ids and not one.entry.fixed]:
             self.drop(id)
 
-    def fix(self, now: float, table: Table) -> None:
+    def fix(self, now: float, table: RoutingTable) -> None:
         """Services at one address, by the configuration; they sit on no list."""
         fixed = {f"@{one.name}": one for one in table.backends.values() if one.endpoint}
         for id, known in list(self.workers.items()):
@@ -115,7 +115,7 @@
                 self.drop(id)
         for id, one in fixed.items():
             host, _, port = str(one.endpoint).rpartition(":")
-            entry = WorkerEntry(id, one.name, host, int(port), self.zone, one.conns, True, True)
+            entry = WorkerEntry(id, one.name, host, int(port), self.zone, one.max_connections, True, True)
             if id not in self.workers or self.workers[id].entry != entry:
                 self.put(now, entry, 0.0)
 
@@ -173,12 +173,12 @@
         self._turn += 1
         index, named = indices[self._turn % len(indices)]
         bound = IMBALANCE - UNCERTAINTY
-        for below, one in breaks(indices, index - bound, lambda one: now - one.heard_at > AGE_LIMIT):
+        for below, one in violations(indices, index - bound, lambda one: now - one.heard_at > AGE_LIMIT):
             del below
             if now - one.asked_at >= AGE_LIMIT:
                 one.asked_at = now
                 self.stale.add(one.entry.id)
-        return within(indices, index, named, bound, self._chance)
+        return pick_within(indices, index, named, bound, self._chance)
 
     def sent(self, worker: Worker) -> None:
         worker.own += 1
--- a/sableford/store/departure.py
+++ b/sableford/store/departure.py
@@ -8,7 +8,7 @@
     does not show this life                   at once: it is a member no more
     shows no store that stays                 at once: there is nobody to copy to
     shows this store as one that is needed    never: it is in use, or something is only here
-    shows it as spared, or off the roster     at once
+    shows it as dispensable, or off the roster     at once
 """
 
 from sableford.store.queue import Queue
@@ -25,4 +25,4 @@
     staying = [name for name, one in view.live_stores.items() if not one.leaving and name != queue.state.me]
     if not staying:
         return True
-    return own.leaving and (queue.state.me in view.spared or queue.state.me not in view.roster)
+    return own.leaving and (queue.state.me in view.dispensable or queue.state.me not in view.roster)
--- a/sableford/store/final_state_replication.py
+++ b/sableford/store/final_state_replication.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from sableford.control.view import Number, View, shard_in
+from sableford.control.view import View, ViewNumber, shard_of_ref
 from sableford.store.final_state_holders import FinalStateHolders
 from sableford.store.messages import (
     NEVER,
@@ -46,7 +46,7 @@
 
     number: int  # of this asking: an answer to another one is passed over
     incarnation: str
-    epochs: dict[int, Number]  # of the shards that are asked about
+    epochs: dict[int, ViewNumber]  # of the shards that are asked about
     seen: set[str]
     after: str = ""
     is_last: bool = False  # this page
@@ -64,7 +64,7 @@
         self.on_learned: Learned = lambda now, ref, final_state: self.learn(ref, final_state)
         self._holders = FinalStateHolders()
         self._listings: dict[str, Listing] = {}  # under way, by store
-        self._listed: dict[str, tuple[str, dict[int, Number]]] = {}  # by store: incarnation and shards
+        self._listed: dict[str, tuple[str, dict[int, ViewNumber]]] = {}  # by store: incarnation and shards
         self._all_listed_at: float | None = None  # when it was last known what all others hold
         self._absent: dict[str, float] = {}  # stores of the roster that are not live, since when
         self._short: list[str] = []  # refs that are to be copied, the last one first
@@ -83,7 +83,7 @@
         if ref not in state.final_states:
             state.final_states[ref] = final_state
             state.unsynced_final_states.add(ref)
-        if shard_in(ref) in state.owned and ref not in self._holders and ref not in state.messages:
+        if shard_of_ref(ref) in state.owned and ref not in self._holders and ref not in state.messages:
             self._adopt(ref)
 
     def written(self, ref: str) -> None:
@@ -118,7 +118,7 @@
 
     def message_removed(self, ref: str, holders: Iterable[str]) -> None:
         """The message is done with; its final state, if it is of an own shard, is kept from here on."""
-        if shard_in(ref) in self._state.owned:
+        if shard_of_ref(ref) in self._state.owned:
             self._holders.put(ref, frozenset(holders))
             self.note_holders(ref, holders)
 
@@ -204,7 +204,7 @@
             self._next_page(store)
 
     def _is_still_ours(self, listing: Listing, ref: str) -> bool:
-        shard = shard_in(ref)
+        shard = shard_of_ref(ref)
         if shard is None or shard not in listing.epochs:
             return False
         return self._state.owned.get(shard) == listing.epochs[shard]
@@ -291,7 +291,7 @@
 
         for _ in range(min(self._portion, len(self._short))):
             ref = self._short.pop()
-            shard = shard_in(ref)
+            shard = shard_of_ref(ref)
             if ref not in self._holders or ref not in state.final_states or shard is None:
                 continue
             holders = self._holders.of(ref)
--- a/sableford/store/messages.py
+++ b/sableford/store/messages.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from sableford.control.view import Number, order_key
+from sableford.control.view import ViewNumber, order_key
 from sableford.store.protocol import (
     CopyRequest,
     FinalState,
@@ -77,7 +77,7 @@
         self.final_state_holders: set[str] = set()
         self.final_state_rounds = 0  # how often stores were asked to keep it
 
-    def copy_request(self, now: float, epoch: Number) -> CopyRequest:
+    def copy_request(self, now: float, epoch: ViewNumber) -> CopyRequest:
         """What another store is sent to keep a replica."""
         fields = header_fields(self.header) | {"attempts": self.attempts}
         return CopyRequest(**fields, due_in_ms=self.due_at - now, age_ms=now - self.sent_at, epoch=epoch)
@@ -120,7 +120,7 @@
 
     to: str
     ref: str
-    epoch: Number
+    epoch: ViewNumber
 
 
 class CopyFinalState(NamedTuple):
@@ -144,7 +144,7 @@
 
     to: str
     ref: str
-    epoch: Number
+    epoch: ViewNumber
 
 
 class ListFinalStates(NamedTuple):
--- a/sableford/store/protocol.py
+++ b/sableford/store/protocol.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from sableford.control.view import Number
+from sableford.control.view import ViewNumber
 from sableford.transport.messages import PeerMessage, PeerRequest, PeerResponse
 
-Position = tuple[Number, int]  # of a message in its shard: the owner's epoch, and a count within it
+Position = tuple[ViewNumber, int]  # of a message in its shard: the owner's epoch, and a count within it
 
 
 class FinalState(msgspec.Struct, array_like=True, frozen=True):
@@ -37,7 +37,7 @@
 class MessageHeader(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """What is kept of a message beside its body: the request as it came, and its place in the queue."""
 
-    ref: str  # its name in the system: the shard and the client's id (`view.ref_of`)
+    ref: str  # its name in the system: the shard and the client's id (`view.make_ref`)
     shard: int
     key: str  # messages of one key are delivered in order; empty where that is not wanted
     id: str  # as the client gave it
@@ -104,7 +104,7 @@
     response_type: ClassVar[type[PeerResponse]] = Confirmation
     due_in_ms: float = msgspec.field(name="due_in")
     age_ms: float = msgspec.field(name="age")
-    epoch: Number  # since when the sender owns the shard
+    epoch: ViewNumber  # since when the sender owns the shard
 
 
 class PulledMessage(MessageHeader, PeerMessage, frozen=True, kw_only=True, tag="part"):
@@ -149,7 +149,7 @@
     """The owner of a shard, since `epoch`, knows nothing of a message: its replica may go."""
 
     ref: str
-    epoch: Number
+    epoch: ViewNumber
 
 
 class PullResponse(PeerResponse, frozen=True):
--- a/sableford/store/replica_placement.py
+++ b/sableford/store/replica_placement.py
@@ -39,7 +39,8 @@
         self._counted = {
             name
             for name, store in stores
-            if not store.retiring and not (store.leaving and (self._others_suffice or name in view.spared))
+            if not store.retiring
+            and not (store.leaving and (self._others_suffice or name in view.dispensable))
         }
 
     def counted_stores(self) -> set[str]:
@@ -83,7 +84,7 @@
         """Whether no accepted message can be only on stores of the roster that are not among `answered`."""
         self._update()
         view = self._state.view
-        missing = {*view.roster}.difference(answered, view.spared)
+        missing = {*view.roster}.difference(answered, view.dispensable)
         return loss_is_borne(missing, self._topology, self._limits)
 
     def is_isolated(self) -> bool:
--- a/sableford/store/server.py
+++ b/sableford/store/server.py
@@ -17,7 +17,7 @@
 from sableford.control.protocol import ConfigurationVersion
 from sableford.control.record_storage import RecordStorage
 from sableford.control.service import ControlService
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.node.runtime import Runtime, StoreStatus
 from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.departure import may_end
@@ -27,11 +27,11 @@
 from sableford.store.peer_requests import PeerRequests
 from sableford.store.protocol import InFlightCounts, InFlightCountsWanted
 from sableford.store.queue import Queue
-from sableford.transport.http import Bounds
+from sableford.transport.http import ConnectionLimits
 from sableford.transport.http_server import HttpServer
 from sableford.transport.link import Link
 from sableford.transport.messages import PeerMessage
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 
 TICK_MS = 15.0  # between two looks at what is due
 REPORT_MS = 40.0  # between two reports to other stores of what is in flight here; with more than
@@ -45,7 +45,7 @@
 COMPLETE_KEY, ZONES_KEY, PROBE_KEY, RECORD_PREFIX = b"n", b"z", b"p", b"r"  # on disk
 COMPLETE = b"whole"  # the value that says that the disk holds all that it ever said to hold
 FOLDER_BEFORE_0_4 = "margherita"  # the name of the data folder up to version 0.3
-NO_VIEW: Number = (0, 0)
+NO_VIEW: ViewNumber = (0, 0)
 
 
 class StoreServer:
@@ -58,8 +58,8 @@
         self.disk = Disk(_data_folder(Path(settings.data_dir or "")), settings.limits.disk_mb)
         self.choice = Choice(settings.zone, settings.node_name)
         self.control = ControlService(runtime, self.disk)
-        self._http_bounds = Bounds()
-        self._http_bounds.body = MAX_CONTROL_BODY_BYTES
+        self._http_bounds = ConnectionLimits()
+        self._http_bounds.max_body_bytes = MAX_CONTROL_BODY_BYTES
         self._http_server = HttpServer(self.control.handle, self._http_bounds)
         self._duties = StoreDuties(runtime, self.member) if settings.reports_usage else None
         self._written_zones: dict[str, str] = {}  # on the own disk
@@ -128,7 +128,7 @@
             whole=is_complete,
             messages=len(self.queue.state.messages),
             ends=len(self.queue.state.final_states),
-            entries=len(self._record_storage.held.entries),
+            entries=len(self._record_storage.stored_state.entries),
         )
 
     def _make_queue(self, is_complete: bool) -> Queue:
@@ -138,7 +138,7 @@
             self.runtime.me,
             self.runtime.incarnation,
             tolerates.machine_loss,
-            Table(),
+            RoutingTable(),
             self.choice,
             bounds.status_ttl_s,
             is_complete,
@@ -168,9 +168,9 @@
     def _open_record(self) -> None:
         settings = self.runtime.settings
         self._record_storage = RecordStorage(self.disk.load(RECORD_PREFIX))
-        if self._record_storage.fresh:
+        if self._record_storage.is_new:
             first_voters = sorted(settings.seeds) if settings.bootstrap else ()
-            self.disk.write(self._record_storage.begin(first_voters))
+            self.disk.write(self._record_storage.initial_write(first_voters))
 
     # Time
 
@@ -212,7 +212,7 @@
         self._update_status()
         self.queue.state.full = self.disk.full
         if self.disk.full:  # whether it takes more again: nothing else may ask it to
-            self.disk.write([(PROBE_KEY, b"")], more=True).add_done_callback(_ignore_failure)
+            self.disk.write([(PROBE_KEY, b"")], adds_data=True).add_done_callback(_ignore_failure)
         if self.queue.state.complete and not self._completeness_written:
             self._completeness_written = True
             self.disk.write([(COMPLETE_KEY, COMPLETE)])
@@ -253,7 +253,7 @@
             self.disk.write([(ZONES_KEY, orjson.dumps(zones))]).add_done_callback(_ignore_failure)
 
     def _configuration_changed(self, config: ConfigurationVersion) -> None:
-        table = Table(config.revision, config.document)
+        table = RoutingTable(config.revision, config.document)
         self.executor.carry_out(self.queue.configure(self.runtime.now(), table))
         self.log.event("config", revision=table.revision)
 
@@ -268,7 +268,7 @@
             host, port = address(worker.address)
             ready = worker.phase == "ready"
             entry = WorkerEntry(worker.id, worker.backend, host, port, worker.zone, worker.capacity, ready)
-            self.choice.put(now, entry, worker.cold_ms)
+            self.choice.put(now, entry, worker.slow_start_ms)
         self.control.coordinator.observe(self.member.view, workers.values(), now)
         self.executor.carry_out(self.queue.tick(now, time.time() * 1000.0))
 
@@ -287,7 +287,7 @@
         until = begun_at + grace_ms - DEPARTURE_MARGIN_MS
         while self.runtime.now() < until and not may_end(self.queue):
             await asyncio.sleep(DEPARTURE_CHECK_MS / 1000.0)
-        self._http_server.shut()
+        self._http_server.stop_accepting()
         await asyncio.sleep(CLOSE_MS / 1000.0)
         waited_ms = round(self.runtime.now() - begun_at)
         self.log.event(
--- a/tests/record_disks.py
+++ b/tests/record_disks.py
@@ -102,13 +102,13 @@
         self.loop.run_forever()
 
     def opened(self) -> StoredState:
-        return RecordStorage(list(self.keys.items())).held
+        return RecordStorage(list(self.keys.items())).stored_state
 
 
 def shows_entries_that_a_failed_write_did_not_remove_are_never_read_back() -> None:
     file = ControlledDisk()
     storage = RecordStorage([])
-    file.write(storage.begin(["a"]))
+    file.write(storage.initial_write(["a"]))
     file.end()
     writer = RecordWriter(
         storage, file.write, lambda number, problem: file.ended.append((number, problem is None))
@@ -117,17 +117,17 @@
     def entry(term: int, number: int) -> Entry:
         return Entry(term, Kind.PUT, "a#1", number, b"x")
 
-    writer.keep(Persist(1, (HardState(3, ""), *(AppendToLog(at, entry(3, at)) for at in range(1, 11)))))
+    writer.persist(Persist(1, (HardState(3, ""), *(AppendToLog(at, entry(3, at)) for at in range(1, 11)))))
     file.end()
-    writer.keep(Persist(2, (TruncateLog(7), AppendToLog(8, entry(4, 8)))))
-    writer.keep(Persist(3, (AppendToLog(9, entry(4, 9)),)))  # batched with the next write, so it fails too
+    writer.persist(Persist(2, (TruncateLog(7), AppendToLog(8, entry(4, 8)))))
+    writer.persist(Persist(3, (AppendToLog(9, entry(4, 9)),)))  # batched with the next write, so it fails too
     file.end(problem=True)
     assert file.ended == [(1, True), (2, False)] and not file.writes
     assert file.opened().entries == tuple(entry(3, at) for at in range(1, 11))
-    writer.keep(Persist(4, (HardState(5, ""),)))
+    writer.persist(Persist(4, (HardState(5, ""),)))
     assert not file.writes  # only a full rewrite is accepted
     kept = (*(entry(3, at) for at in range(1, 8)), entry(4, 8))
-    writer.keep(Persist(5, (ReplaceLog(storage._meta.id, HardState(5, ""), None, 1, 0, kept),)))
+    writer.persist(Persist(5, (ReplaceLog(storage._meta.id, HardState(5, ""), None, 1, 0, kept),)))
     file.end()
     held = file.opened()
     assert held.entries == kept and held.lost is None and held.term == 5, len(held.entries)
@@ -139,14 +139,14 @@
     storage = RecordStorage([])
     entries = [Entry(2, Kind.PUT, "a#1", at, b"x") for at in range(1, 7)]
     for key, data in [
-        *storage.begin(["a"]),
-        *storage.puts([AppendToLog(at, one) for at, one in enumerate(entries, 1)]),
+        *storage.initial_write(["a"]),
+        *storage.make_write([AppendToLog(at, one) for at, one in enumerate(entries, 1)]),
     ]:
         file.keys[key] = data
     del file.keys[b"re" + (4).to_bytes(8, "big")]
     again = RecordStorage(list(file.keys.items()))
-    assert len(again.held.entries) == 3 and again.held.lost == (2, 6)
-    for key, data in again.puts([AppendToLog(4, Entry(5, Kind.NOTHING))], 1):
+    assert len(again.stored_state.entries) == 3 and again.stored_state.lost == (2, 6)
+    for key, data in again.make_write([AppendToLog(4, Entry(5, Kind.NOTHING))], 1):
         file.keys.pop(key, None) if data is None else file.keys.update({key: data})
     held = file.opened()
     assert [one.term for one in held.entries] == [2, 2, 2, 5] and held.lost == (2, 6)
@@ -265,8 +265,8 @@
     file = {bytes.fromhex(key): bytes.fromhex(data) for key, data in PREVIOUS_FILE.items()}
     folder = {name: bytes.fromhex(data) for name, data in PREVIOUS_FOLDER.items()}
     storage = RecordStorage(list(file.items()))
-    assert storage.names == ("a", "b", "c") and not storage.fresh
-    for held in (storage.held, recover("a", folder, "new").held):
+    assert storage.initial_voters == ("a", "b", "c") and not storage.is_new
+    for held in (storage.stored_state, recover("a", folder, "new").held):
         assert (held.id, held.term, held.vote, held.lost) == ("0001020304050607", 3, "c", None)
         assert (held.first, held.before, [entry.term for entry in held.entries]) == (3, 1, [1, 2, 2])
         node = RaftNode("a", 9, ["a", "b", "c"], held, 0.0, 1)
@@ -278,7 +278,7 @@
             True,
         )
     # Writes of this version leave a file that can be read in the same way.
-    for key, data in storage.puts([TruncateLog(4), HardState(4, "")], 1):
+    for key, data in storage.make_write([TruncateLog(4), HardState(4, "")], 1):
         file.pop(key, None) if data is None else file.update({key: data})
-    again = RecordStorage(list(file.items())).held
+    again = RecordStorage(list(file.items())).stored_state
     assert len(again.entries) == 2 and again.lost is None and again.term == 4
--- a/tests/store_losses.py
+++ b/tests/store_losses.py
@@ -65,7 +65,7 @@
 
     def can_open(self, answered):
         view = self._state.view
-        return len({*view.roster}.difference(answered, view.spared)) <= self.tolerated.machines
+        return len({*view.roster}.difference(answered, view.dispensable)) <= self.tolerated.machines
 
 
 ForgetsZones, WaitsForMachines = with_parts(placement=AnyZone), with_parts(placement=SingleMachines)
