--- a/sableford/simulation/stores/leader.py
+++ b/sableford/simulation/stores/leader.py
@@ -9,7 +9,7 @@
 from sableford.control.workers import Worker, WorkerTable
 from sableford.simulation.stores.model import SimulatedStore
 from sableford.simulation.stores.network import Network
-from sableford.store.choice import WorkerEntry
+from sableford.store.worker_selection import WorkerEntry
 
 
 class LeaderSide(Network):
--- a/sableford/simulation/stores/traffic.py
+++ b/sableford/simulation/stores/traffic.py
@@ -18,7 +18,9 @@
                         self._to(
                             store.name,
                             other.name,
-                            lambda to, c=counts, s=store.name: to.choice.told(self.now, s, c),
+                            lambda to, c=counts, s=store.name: to.choice.update_reported_counts(
+                                self.now, s, c
+                            ),
                         )
 
     def _deliver(self, store: SimulatedStore, incarnation: str, ref: str, worker: str, until: float) -> None:
--- a/sableford/store/acceptance.py
+++ b/sableford/store/acceptance.py
@@ -27,7 +27,7 @@
 MAX_PARKED = 2000  # puts per shard that wait for its takeover; more are refused
 # How long puts wait for a takeover, from its start. Most takeovers are shorter. A longer one waits for absent
 # stores, and an edge waits only for a limited time before the outcome of its put counts as unknown.
-PARK_MS = 400.0
+MAX_PARKED_MS = 400.0
 
 KEPT = PutResponse(kept=True)
 REFUSED = PutResponse(refusal=NOT_OWNER)
@@ -101,7 +101,7 @@
     def _park(self, now: float, put: Put) -> None:
         """Parks a put, or refuses it if its edge can send the message to another shard instead."""
         request = put.request
-        until = self._state.takeovers[request.shard].started_at + PARK_MS
+        until = self._state.takeovers[request.shard].started_at + MAX_PARKED_MS
         parked = self._parked.setdefault(request.shard, [])
         may_go_elsewhere = not request.key and not request.is_retry
         if may_go_elsewhere or now > until or len(parked) >= MAX_PARKED:
--- a/sableford/store/delivery.py
+++ b/sableford/store/delivery.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from sableford.store.choice import WorkerEntry
 from sableford.store.messages import Message
+from sableford.store.worker_selection import WorkerEntry
 from sableford.transport.errors import CallError
 from sableford.transport.http_client import ClientConnection, Response
 from sableford.transport.verdict import Execution, Verdict
@@ -139,7 +139,7 @@
         """Sends the request and reads the response. Only a complete one leaves the connection in the pool."""
         try:
             async with asyncio.timeout((left + RESPONSE_SLACK_MS) / 1000.0):
-                response = await connection.ask(request_of(message, body, entry, left))
+                response = await connection.send_request(request_of(message, body, entry, left))
         except TimeoutError:
             connection.drop()
             return Verdict(Execution.UNKNOWN, "no answer by the deadline", reached=False)
@@ -163,7 +163,7 @@
         idle = self._idle.get(destination)
         while idle:
             connection = idle.pop()
-            if connection.usable():
+            if connection.is_reusable():
                 return connection
             connection.drop()
         return None
@@ -171,7 +171,7 @@
     def sweep(self, workers: set[str]) -> None:
         """Closes connections to workers that are gone, and those that were idle for too long."""
         for destination, idle in list(self._idle.items()):
-            keep = [one for one in idle if destination.id in workers and one.usable()]
+            keep = [one for one in idle if destination.id in workers and one.is_reusable()]
             for one in idle:
                 if one not in keep:
                     one.drop()
--- a/sableford/store/delivery_order.py
+++ b/sableford/store/delivery_order.py
@@ -10,11 +10,11 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from sableford.store.choice import Choice
 from sableford.store.messages import Deliver, Lookup, Message, State
 from sableford.store.protocol import FinalState, Position
 from sableford.store.queue_state import DEAD_LETTER, QueueState
 from sableford.store.rate_limits import RateLimits
+from sableford.store.worker_selection import WorkerSelector
 from sableford.transport.routes import Route
 
 # One in this many deliveries is of an overdue message, while other messages can still meet their targets.
@@ -33,8 +33,8 @@
 class DeliveryOrder:
     """The queues of messages that wait for delivery. `finish` ends a message that can never be delivered."""
 
-    def __init__(self, state: QueueState, choice: Choice, rate_limits: RateLimits) -> None:
-        self._state, self._choice, self._rate_limits = state, choice, rate_limits
+    def __init__(self, state: QueueState, selector: WorkerSelector, rate_limits: RateLimits) -> None:
+        self._state, self._selector, self._rate_limits = state, selector, rate_limits
         self.finish: Finish = lambda now, message, final_state: None
         self._by_key: dict[str, list[tuple[Position, str]]] = {}
         self._delayed: list[tuple[float, int, str]] = []
@@ -174,13 +174,13 @@
             return
         for backend in list(self._ready):
             while (message := self._next(now, backend)) is not None:
-                worker = self._choice.choose(now, backend, message.avoided_worker)
+                worker = self._selector.choose(now, backend, message.avoided_worker)
                 if worker is None or not self._rate_limits.allows(now, backend):
                     break
                 self._pop(backend)
                 message.state = State.IN_FLIGHT
                 state.in_flight[message.ref] = message.shard
-                self._choice.sent(worker)
+                self._selector.delivery_started(worker)
                 until = now + self._deadline_ms(message)
                 state.emit(Deliver(message.ref, worker.entry.id, until))
 
@@ -197,7 +197,7 @@
 
     def _leads_to(self, message: Message, worker: str) -> bool:
         """Whether the configuration in force routes the message to the worker's backend."""
-        known, route = self._choice.workers.get(worker), self._state.route_of(message)
+        known, route = self._selector.workers.get(worker), self._state.route_of(message)
         return known is not None and route is not None and known.entry.backend == route.backend
 
     def _next(self, now: float, backend: str) -> Message | None:
@@ -208,7 +208,7 @@
         ready, overdue = self._ready[backend], self._overdue.setdefault(backend, [])
         while (route := self._first_startable(now, backend, ready)) is not None:
             _, due_at, number, ref = ready[0]
-            if now <= due_at + (route.start_ms or NO_TARGET_MS):
+            if now <= due_at + (route.start_target_ms or NO_TARGET_MS):
                 break
             heappop(ready)
             heappush(overdue, (due_at, number, ref))
--- a/sableford/store/delivery_results.py
+++ b/sableford/store/delivery_results.py
@@ -4,13 +4,13 @@
 shard has moved to another store is reported to the new owner until that one confirms it.
 """
 
-from sableford.store.choice import Choice
 from sableford.store.delivery_order import DeliveryOrder
-from sableford.store.endings import Endings
 from sableford.store.final_state_replication import FinalStateReplication
+from sableford.store.message_finalization import MessageFinalization
 from sableford.store.messages import Message, SendDeliveryResult, State
 from sableford.store.protocol import FinalState
 from sableford.store.queue_state import COMPLETE, DEAD_LETTER, QueueState
+from sableford.store.worker_selection import WorkerSelector
 from sableford.transport.verdict import Execution, Verdict
 
 NOT_RUN_BACKOFF_MS = 15.0  # backoff after an attempt that did not run; doubles with each
@@ -26,13 +26,13 @@
     def __init__(
         self,
         state: QueueState,
-        choice: Choice,
+        selector: WorkerSelector,
         order: DeliveryOrder,
-        endings: Endings,
+        finalization: MessageFinalization,
         final_states: FinalStateReplication,
     ) -> None:
-        self._state, self._choice, self._order = state, choice, order
-        self._endings, self._final_states = endings, final_states
+        self._state, self._selector, self._order = state, selector, order
+        self._finalization, self._final_states = finalization, final_states
         self._unreported: dict[str, Verdict] = {}  # by ref, until the owner has confirmed them
         self._reported_at = 0.0
 
@@ -53,22 +53,22 @@
                 and message is not None
                 and ref not in state.final_states
             ):
-                self._endings.finish(now, message, self._final_state(verdict))  # recorded here too
+                self._finalization.finish(now, message, self._final_state(verdict))  # recorded here too
             self.report(now)
         self._order.dispatch(now)
 
     def _record_worker_outcome(self, now: float, worker: str, verdict: Verdict) -> None:
-        known = self._choice.workers.get(worker)
+        known = self._selector.workers.get(worker)
         if known is None:
             return
         not_run = verdict.execution is Execution.NOT_RUN
         unreachable = not_run and not verdict.reached
-        self._choice.finished(now, known, verdict.reached, unreachable, not_run)
+        self._selector.delivery_finished(now, known, verdict.reached, unreachable, not_run)
 
     def _apply(self, now: float, message: Message, verdict: Verdict) -> None:
         """Ends the message or schedules its next attempt."""
         if verdict.execution in FINAL_EXECUTIONS:
-            self._endings.finish(now, message, self._final_state(verdict))
+            self._finalization.finish(now, message, self._final_state(verdict))
         elif verdict.execution is Execution.FAILED:
             self._apply_failure(now, message)
         else:
@@ -79,15 +79,15 @@
     def _apply_failure(self, now: float, message: Message) -> None:
         message.attempts += 1
         route = self._state.route_of(message)
-        if route is not None and message.attempts >= route.tries:
+        if route is not None and message.attempts >= route.max_attempts:
             why = f"failed {message.attempts} times"
-            self._endings.finish(now, message, self._state.final_state(DEAD_LETTER, why))
+            self._finalization.finish(now, message, self._state.final_state(DEAD_LETTER, why))
         else:
             self._order.requeue(now, message, FAILED_BACKOFF_MS * 2.0 ** (message.attempts - 1))
 
     def _final_state(self, verdict: Verdict) -> FinalState:
         phase = COMPLETE if verdict.execution is Execution.DONE else DEAD_LETTER
-        return self._state.final_state(phase, verdict.why, verdict.seal)
+        return self._state.final_state(phase, verdict.reason, verdict.seal)
 
     # Deliveries sent by a previous owner
 
@@ -123,7 +123,7 @@
         state = self._state
         message = state.messages.get(ref)
         if ref in state.final_states:
-            self._endings.learned(now, ref, state.final_states[ref])
+            self._finalization.learned(now, ref, state.final_states[ref])
         elif (takeover := state.takeovers.get(shard)) is not None:
             takeover.finished_deliveries.add((sender, ref))
             if verdict.execution in FINAL_EXECUTIONS:
--- a/sableford/store/durability.py
+++ b/sableford/store/durability.py
@@ -58,11 +58,11 @@
     return not limits.regions or len({topology.region(store) for store in holders}) > limits.regions
 
 
-def loss_is_borne(missing: Collection[str], topology: Topology, limits: Tolerated) -> bool:
+def is_loss_tolerated(missing: Collection[str], topology: Topology, limits: Tolerated) -> bool:
     """Whether these missing stores are within `limits`: each durable record has a copy on another store.
 
     >>> places = Topology({"a": "z1", "b": "z1", "c": "z2"})
-    >>> loss_is_borne("ab", places, Tolerated(1)), loss_is_borne("ab", places, Tolerated(1, 1))
+    >>> is_loss_tolerated("ab", places, Tolerated(1)), is_loss_tolerated("ab", places, Tolerated(1, 1))
     (False, True)
     """
     if len(missing) <= limits.machines:
--- a/sableford/store/effect_executor.py
+++ b/sableford/store/effect_executor.py
@@ -8,9 +8,8 @@
 from typing import Any, TypeVar
 
 from sableford.common.log import EventLog
-from sableford.control.view import Number
+from sableford.control.view import ViewNumber
 from sableford.duties.usage_counts import UsageCounts
-from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.delivery import DeliveryClient, Destination
 from sableford.store.message_storage import BodyReader, Clocks, MessageStorage
 from sableford.store.messages import (
@@ -48,6 +47,7 @@
     PullResponse,
 )
 from sableford.store.queue import Queue
+from sableford.store.worker_selection import WorkerEntry, WorkerSelector
 from sableford.transport.errors import CallError
 from sableford.transport.link import Response
 from sableford.transport.link_pool import LinkPool
@@ -68,14 +68,14 @@
         queue: Queue,
         storage: MessageStorage,
         bodies: BodyReader,
-        choice: Choice,
+        selector: WorkerSelector,
         links: LinkPool,
         log: EventLog,
         now: Callable[[], float],
         spawn: Callable[[Coroutine[Any, Any, None]], object],
         usage: UsageCounts | None = None,
     ) -> None:
-        self._queue, self._choice, self._links = queue, choice, links
+        self._queue, self._selector, self._links = queue, selector, links
         self._storage, self._bodies = storage, bodies
         self._log, self._now, self._spawn, self._usage = log, now, spawn, usage
         self._loop = asyncio.get_running_loop()
@@ -189,7 +189,7 @@
 
     # Other stores
 
-    def _copy_message(self, to: str, ref: str, epoch: Number) -> None:
+    def _copy_message(self, to: str, ref: str, epoch: ViewNumber) -> None:
         message = self._queue.state.messages.get(ref)
         if message is None:
             return
@@ -199,7 +199,7 @@
         request = message.copy_request(self._now(), epoch)
         self._call(to, request, lambda response: self._message_copied(ref, to, response), message.body)
 
-    async def _load_and_copy(self, to: str, message: Message, epoch: Number) -> None:
+    async def _load_and_copy(self, to: str, message: Message, epoch: ViewNumber) -> None:
         message.body = await self._bodies.body_of(message)
         if message.body is not None and message.ref in self._queue.state.messages:
             self._copy_message(to, message.ref, epoch)
@@ -260,7 +260,7 @@
 
         verdict = effect.verdict
         request = DeliveryResultRequest(
-            effect.ref, effect.shard, verdict.execution.value, verdict.why, verdict.seal, verdict.reached
+            effect.ref, effect.shard, verdict.execution.value, verdict.reason, verdict.seal, verdict.reached
         )
         self._call(effect.to, request, answered)
 
@@ -274,13 +274,13 @@
                 ref=effect.ref,
                 worker=effect.worker,
                 ran=verdict.execution.value,
-                why=verdict.why,
+                why=verdict.reason,
             )
         self.carry_out(self._queue.delivered(self._now(), effect.ref, effect.worker, verdict))
 
     async def _attempt(self, effect: Deliver) -> Verdict:
         message = self._queue.state.messages.get(effect.ref)
-        worker = self._choice.workers.get(effect.worker)
+        worker = self._selector.workers.get(effect.worker)
         if message is None or worker is None:
             return Verdict(Execution.NOT_RUN, "gone before it was sent")
         body = await self._bodies.body_of(message)
@@ -303,7 +303,7 @@
 
     def _is_at(self, dialled: WorkerEntry) -> bool:
         """Whether the worker or fixed endpoint still has the address that was dialled."""
-        worker = self._choice.workers.get(dialled.id)
+        worker = self._selector.workers.get(dialled.id)
         return worker is not None and Destination.of(worker.entry) == Destination.of(dialled)
 
     def may_send(self, effect: Deliver) -> bool:
--- a/sableford/store/final_state_replication.py
+++ b/sableford/store/final_state_replication.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from sableford.control.view import Number, View, shard_in
+from sableford.control.view import View, ViewNumber, shard_of_ref
 from sableford.store.final_state_holders import FinalStateHolders
 from sableford.store.messages import (
     NEVER,
@@ -47,7 +47,7 @@
 
     number: int  # round of this listing; answers of other rounds are ignored
     incarnation: str
-    epochs: dict[int, Number]  # of the shards that are listed
+    epochs: dict[int, ViewNumber]  # of the shards that are listed
     seen: set[str]
     after: str = ""
     is_last: bool = False  # whether the last page has arrived
@@ -65,7 +65,7 @@
         self.on_learned: Learned = lambda now, ref, final_state: self.learn(ref, final_state)
         self._holders = FinalStateHolders()
         self._listings: dict[str, Listing] = {}  # in progress, by store
-        self._listed: dict[str, tuple[str, dict[int, Number]]] = {}  # by store: incarnation and shards
+        self._listed: dict[str, tuple[str, dict[int, ViewNumber]]] = {}  # by store: incarnation and shards
         self._all_listed_at: float | None = None  # when the holdings of all other stores were last known
         self._absent: dict[str, float] = {}  # stores on the roster that are not live, and since when
         self._under_replicated: list[str] = []  # refs to copy, taken from the end
@@ -84,7 +84,7 @@
         if ref not in state.final_states:
             state.final_states[ref] = final_state
             state.unsynced_final_states.add(ref)
-        if shard_in(ref) in state.owned and ref not in self._holders and ref not in state.messages:
+        if shard_of_ref(ref) in state.owned and ref not in self._holders and ref not in state.messages:
             self._adopt(ref)
 
     def written(self, ref: str) -> None:
@@ -119,7 +119,7 @@
 
     def message_removed(self, ref: str, holders: Iterable[str]) -> None:
         """Tracks the final state of a message that was removed, if its shard is owned."""
-        if shard_in(ref) in self._state.owned:
+        if shard_of_ref(ref) in self._state.owned:
             self._holders.put(ref, frozenset(holders))
             self.add_holders(ref, holders)
 
@@ -205,7 +205,7 @@
             self._next_page(store)
 
     def _is_still_owned(self, listing: Listing, ref: str) -> bool:
-        shard = shard_in(ref)
+        shard = shard_of_ref(ref)
         if shard is None or shard not in listing.epochs:
             return False
         return self._state.owned.get(shard) == listing.epochs[shard]
@@ -292,7 +292,7 @@
 
         for _ in range(min(self._batch_size, len(self._under_replicated))):
             ref = self._under_replicated.pop()
-            shard = shard_in(ref)
+            shard = shard_of_ref(ref)
             if ref not in self._holders or ref not in state.final_states or shard is None:
                 continue
             holders = self._holders.of(ref)
--- a/sableford/store/endings.py
+++ b/sableford/store/message_finalization.py
@@ -13,7 +13,7 @@
 ROUND = "final state"  # key in `Message.copied_at` for the time of the last round
 
 
-class Endings:
+class MessageFinalization:
     """Takes messages from any state to their removal, once their final states are durable."""
 
     def __init__(
--- a/sableford/store/message_storage.py
+++ b/sableford/store/message_storage.py
@@ -28,7 +28,7 @@
 class Clocks(NamedTuple):
     """One moment by this process's monotonic clock and by the time of day, both in ms."""
 
-    steady: float
+    monotonic: float
     unix: float
 
     @classmethod
@@ -43,7 +43,7 @@
 
 def encode_message(message: Message, clocks: Clocks) -> bytes:
     """Encodes a message for the disk, with an empty body if the body is not in memory."""
-    offset = clocks.unix - clocks.steady
+    offset = clocks.unix - clocks.monotonic
     stored = StoredMessage(
         **header_fields(message.header), due_at=message.due_at + offset, sent_at=message.sent_at + offset
     )
@@ -55,8 +55,8 @@
     MalformedFrameError."""
     frame = FrameReader().feed(value)[0]
     stored = _decode_header(frame.head)
-    offset = clocks.steady - clocks.unix
-    sent_at = min(stored.sent_at + offset, clocks.steady)  # the time of day may have been set back
+    offset = clocks.monotonic - clocks.unix
+    sent_at = min(stored.sent_at + offset, clocks.monotonic)  # the time of day may have been set back
     message = Message(MessageHeader(**header_fields(stored)), None, stored.due_at + offset, sent_at)
     message.synced = True
     return message
@@ -90,7 +90,7 @@
     def write_message(self, message: Message, clocks: Clocks) -> "asyncio.Future[bool]":
         """Writes a message and its body."""
         key = MESSAGE + message.ref.encode()
-        return self._disk.write([(key, encode_message(message, clocks))], more=True)
+        return self._disk.write([(key, encode_message(message, clocks))], adds_data=True)
 
     def write_final_states(self, final_states: dict[str, FinalState]) -> "asyncio.Future[bool]":
         """Writes final states, by ref, all of them or none."""
--- a/sableford/store/peer_requests.py
+++ b/sableford/store/peer_requests.py
@@ -6,8 +6,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from sableford.control.view import shard_in
-from sableford.store.choice import Choice
+from sableford.control.view import shard_of_ref
 from sableford.store.effect_executor import EffectExecutor
 from sableford.store.message_storage import BodyReader, Clocks, MessageStorage
 from sableford.store.protocol import (
@@ -21,7 +20,7 @@
     FinalStatesRequest,
     FinalStatesResponse,
     InFlightCounts,
-    InFlightCountsWanted,
+    InFlightCountsQuery,
     KeepFinalStateRequest,
     KeepFinalStatesRequest,
     ListFinalStatesRequest,
@@ -35,6 +34,7 @@
     StatusResponse,
 )
 from sableford.store.queue import Queue
+from sableford.store.worker_selection import WorkerSelector
 from sableford.transport.link import IncomingMessage
 from sableford.transport.peer_server import PeerServer
 from sableford.transport.verdict import Execution, Verdict
@@ -49,11 +49,11 @@
         executor: EffectExecutor,
         storage: MessageStorage,
         bodies: BodyReader,
-        choice: Choice,
+        selector: WorkerSelector,
         now: Callable[[], float],
         spawn: Callable[[Coroutine[Any, Any, None]], object],
     ) -> None:
-        self._queue, self._executor, self._choice = queue, executor, choice
+        self._queue, self._executor, self._selector = queue, executor, selector
         self._storage, self._bodies = storage, bodies
         self._now, self._spawn = now, spawn
 
@@ -71,7 +71,7 @@
         server.handle(LookupRequest, self._lookup)
         server.handle(DeliveryResultRequest, self._delivery_result)
         server.handle(InFlightCounts, self._in_flight_counts)
-        server.handle(InFlightCountsWanted, self._in_flight_counts_wanted)
+        server.handle(InFlightCountsQuery, self._in_flight_counts_query)
         server.handle(StatusRequest, self._status)
         server.handle(BodyRequest, lambda incoming: self._spawn(self._body(incoming)))
 
@@ -174,17 +174,17 @@
         incoming.respond(Confirmation(accepts))
 
     def _in_flight_counts(self, incoming: IncomingMessage[InFlightCounts]) -> None:
-        self._choice.told(self._now(), incoming.sender, incoming.message.counts)
+        self._selector.update_reported_counts(self._now(), incoming.sender, incoming.message.counts)
 
-    def _in_flight_counts_wanted(self, incoming: IncomingMessage[InFlightCountsWanted]) -> None:
-        counts = self._choice.own_counts(set(incoming.message.ids))
+    def _in_flight_counts_query(self, incoming: IncomingMessage[InFlightCountsQuery]) -> None:
+        counts = self._selector.own_counts(set(incoming.message.ids))
         incoming.link.send(InFlightCounts(counts))
 
     # Requests of edges
 
     def _status(self, incoming: IncomingMessage[StatusRequest]) -> None:
         ref = incoming.message.ref
-        is_owner = shard_in(ref) in self._queue.state.owned and self._queue.state.holds_lease(self._now())
+        is_owner = shard_of_ref(ref) in self._queue.state.owned and self._queue.state.holds_lease(self._now())
         incoming.respond(StatusResponse(self._queue.status(ref), ref, is_owner))
 
     async def _body(self, incoming: IncomingMessage[BodyRequest]) -> None:
--- a/sableford/store/protocol.py
+++ b/sableford/store/protocol.py
@@ -9,10 +9,12 @@
 
 import msgspec
 
-from sableford.control.view import Number
+from sableford.control.view import ViewNumber
 from sableford.transport.messages import PeerMessage, PeerRequest, PeerResponse
 
-Position = tuple[Number, int]  # of a message within its shard: the owner's epoch, and a counter within that
+Position = tuple[
+    ViewNumber, int
+]  # of a message within its shard: the owner's epoch, and a counter within that
 
 
 class FinalState(msgspec.Struct, array_like=True, frozen=True):
@@ -40,7 +42,7 @@
 class MessageHeader(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """What is stored of a message besides its body: the request as it came, and its position in the queue."""
 
-    ref: str  # system-wide identifier: the shard and the client's id (`view.ref_of`)
+    ref: str  # system-wide identifier: the shard and the client's id (`view.make_ref`)
     shard: int
     key: str  # messages with the same key are delivered in order; empty for no order
     id: str  # as given by the client
@@ -107,7 +109,7 @@
     response_type: ClassVar[type[PeerResponse]] = Confirmation
     due_in_ms: float = msgspec.field(name="due_in")
     age_ms: float = msgspec.field(name="age")
-    epoch: Number  # in which the sender became the owner
+    epoch: ViewNumber  # in which the sender became the owner
 
 
 class PulledMessage(MessageHeader, PeerMessage, frozen=True, kw_only=True, tag="part"):
@@ -152,7 +154,7 @@
     """Tells a store to drop a replica that the owner of its shard since `epoch` does not know."""
 
     ref: str
-    epoch: Number
+    epoch: ViewNumber
 
 
 class PullResponse(PeerResponse, frozen=True):
@@ -222,7 +224,7 @@
     counts: dict[str, int]
 
 
-class InFlightCountsWanted(PeerMessage, frozen=True, tag="figures"):
+class InFlightCountsQuery(PeerMessage, frozen=True, tag="figures"):
     """Asks for the in-flight counts of these workers."""
 
     ids: list[str]
--- a/sableford/store/queue.py
+++ b/sableford/store/queue.py
@@ -18,14 +18,13 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, ClassVar, NamedTuple
 
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.store.acceptance import Acceptance, Put
-from sableford.store.choice import Choice
 from sableford.store.delivery_order import DeliveryOrder
 from sableford.store.delivery_results import DeliveryResults
 from sableford.store.durability import Tolerated
-from sableford.store.endings import Endings
 from sableford.store.final_state_replication import FinalStateReplication
+from sableford.store.message_finalization import MessageFinalization
 from sableford.store.message_replication import MessageReplication
 from sableford.store.messages import NEVER, Effect, Message, State, replica_of
 from sableford.store.protocol import (
@@ -42,7 +41,8 @@
 from sableford.store.rate_limits import RateLimits
 from sableford.store.replica_placement import ReplicaPlacement
 from sableford.store.shard_takeover import ShardTakeover
-from sableford.transport.routes import Table
+from sableford.store.worker_selection import WorkerSelector
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Verdict
 
 
@@ -54,7 +54,7 @@
     order: type[DeliveryOrder] = DeliveryOrder
     replication: type[MessageReplication] = MessageReplication
     final_states: type[FinalStateReplication] = FinalStateReplication
-    endings: type[Endings] = Endings
+    finalization: type[MessageFinalization] = MessageFinalization
     results: type[DeliveryResults] = DeliveryResults
     takeover: type[ShardTakeover] = ShardTakeover
 
@@ -73,8 +73,8 @@
         name: str,
         incarnation: str,
         machine_loss: int,
-        table: Table,
-        choice: Choice,
+        table: RoutingTable,
+        selector: WorkerSelector,
         status_s: float,
         complete: bool,
         zone_loss: int = 0,
@@ -91,22 +91,22 @@
         factor by which calls to a backend may exceed its rate within it.
         """
         parts = self.parts
-        self.choice = choice
+        self.selector = selector
         self.state = state = parts.state(name, incarnation, table, complete)
         tolerated = Tolerated(machine_loss, zone_loss, region_loss)
         self._rate_limits = RateLimits(*ceiling)
         self._placement = placement = parts.placement(state, tolerated, region_of or {})
-        self._order = order = parts.order(state, choice, self._rate_limits)
+        self._order = order = parts.order(state, selector, self._rate_limits)
         self._replication = replication = parts.replication(state, placement)
         self._final_states = final_states = parts.final_states(state, placement, status_s, sync_ms)
-        self._endings = endings = parts.endings(state, placement, order, final_states)
+        self._finalization = finalization = parts.finalization(state, placement, order, final_states)
         self._acceptance = acceptance = Acceptance(state, placement, order, replication, final_states)
-        self._results = parts.results(state, choice, order, endings, final_states)
+        self._results = parts.results(state, selector, order, finalization, final_states)
         self._takeover = parts.takeover(
-            state, placement, choice, order, replication, final_states, endings, acceptance
+            state, placement, selector, order, replication, final_states, finalization, acceptance
         )
-        order.finish = endings.finish
-        final_states.on_learned = endings.learned
+        order.finish = finalization.finish
+        final_states.on_learned = finalization.learned
 
     # Time, configuration and view
 
@@ -115,7 +115,7 @@
         self.state.unix = unix
         self._order.take_due(now)
         self._acceptance.check_all(now)
-        self._endings.copy_due(now)
+        self._finalization.copy_due(now)
         self._acceptance.end_overdue_lookups(now)
         self._acceptance.refuse_overdue_parked(now)
         self._results.report_again(now)
@@ -140,10 +140,10 @@
         is_accepted = message.state not in (State.ACCEPTING, State.ENDING)
         return self.state.owns(message) and is_accepted and not self._placement.is_safe(message)
 
-    def configure(self, now: float, table: Table) -> list[Effect]:
+    def configure(self, now: float, table: RoutingTable) -> list[Effect]:
         """Applies a version of the configuration."""
         self.state.table = table
-        self.choice.fix(now, table)
+        self.selector.set_fixed_endpoints(now, table)
         self._update_rate_limits(now)
         self._order.enqueue_without_routes(now)
         self._order.dispatch(now)
@@ -195,7 +195,7 @@
         if response is None:
             return self.state.take_effects()
         if response.final_state is not None and ref in self.state.messages:
-            self._endings.learned(now, ref, response.final_state)
+            self._finalization.learned(now, ref, response.final_state)
         else:
             self._acceptance.lookup_answered(now, store, ref, response.final_state)
         return self.state.take_effects()
@@ -236,13 +236,13 @@
         if message is not None and problem:
             message.written_at = NEVER
         elif message is not None:
-            self._endings.written(now, message)
+            self._finalization.written(now, message)
         return self.state.take_effects()
 
     def final_state_copied(self, now: float, ref: str, store: str, accepted: bool) -> list[Effect]:
         """Handles the response of another store to a copy of a final state."""
         if accepted:
-            self._endings.copied(now, ref, store)
+            self._finalization.copied(now, ref, store)
         return self.state.take_effects()
 
     def final_states_copied(self, now: float, store: str, refs: list[str], accepted: bool) -> list[Effect]:
@@ -252,7 +252,7 @@
 
     def final_state_learned(self, now: float, ref: str, final_state: FinalState) -> list[Effect]:
         """Handles a final state from another store."""
-        self._endings.learned(now, ref, final_state)
+        self._finalization.learned(now, ref, final_state)
         return self.state.take_effects()
 
     def final_states_listed(
@@ -295,7 +295,7 @@
             if message.state is State.REPLICA:
                 message.body = None
 
-    def drop_allowed(self, now: float, ref: str, epoch: Number) -> bool:
+    def drop_allowed(self, now: float, ref: str, epoch: ViewNumber) -> bool:
         """Drops a message that its owner does not know, if that is safe. Returns whether it was dropped."""
         state, message = self.state, self.state.messages.get(ref)
         if message is None or state.owns(message) or state.is_being_taken_over(message.shard):
@@ -304,7 +304,7 @@
             return False
         if message.position[0] > epoch:  # accepted by a later owner than the sender
             return False
-        self._endings.remove(now, message)
+        self._finalization.remove(now, message)
         return True
 
     def message_pulled(self, now: float, pulled: PulledMessage, body: bytes | None) -> list[Effect]:
--- a/sableford/store/queue_state.py
+++ b/sableford/store/queue_state.py
@@ -2,9 +2,9 @@
 
 | table | added to by | removed from by |
 | --- | --- | --- |
-| `messages` | `acceptance`, `shard_takeover` | `endings` |
-| `accepting` | `acceptance` | `acceptance`, `endings`, `shard_takeover` |
-| `ending` | `endings` | `endings` |
+| `messages` | `acceptance`, `shard_takeover` | `message_finalization` |
+| `accepting` | `acceptance` | `acceptance`, `message_finalization`, `shard_takeover` |
+| `ending` | `message_finalization` | `message_finalization` |
 | `final_states`, `unsynced_final_states` | `final_state_replication` | `final_state_replication` |
 | `owned`, `takeovers` | `shard_takeover` | `shard_takeover` |
 | `in_flight` | `delivery_order` | `delivery_results` |
@@ -12,11 +12,11 @@
 
 from itertools import count
 
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.store.messages import Effect, Message
 from sableford.store.protocol import FinalState, MessageState
 from sableford.store.takeover import Takeover
-from sableford.transport.routes import Route, Table
+from sableford.transport.routes import Route, RoutingTable
 
 PENDING, COMPLETE, DEAD_LETTER = "pending", "complete", "dead_letter"  # phases, as clients read them
 
@@ -25,7 +25,7 @@
     """`complete`: the local disk still holds all that it ever confirmed. Times are ms of the monotonic clock,
     except `unix`."""
 
-    def __init__(self, name: str, incarnation: str, table: Table, complete: bool) -> None:
+    def __init__(self, name: str, incarnation: str, table: RoutingTable, complete: bool) -> None:
         self.me, self.incarnation, self.table, self.complete = name, incarnation, table, complete
         self.lease = 0.0  # until when this store may act on its shards
         self.unix = 0.0  # the time of day, as of the last tick
@@ -38,7 +38,7 @@
         self.ending: dict[str, None] = {}  # refs of messages in state ENDING, in order
         self.final_states: dict[str, FinalState] = {}
         self.unsynced_final_states: set[str] = set()  # refs whose final state is not on the local disk
-        self.owned: dict[int, Number] = {}  # shards that are served here, with the epoch since when
+        self.owned: dict[int, ViewNumber] = {}  # shards that are served here, with the epoch since when
         self.takeovers: dict[int, Takeover] = {}  # in progress, by shard
         self.in_flight: dict[str, int] = {}  # deliveries sent from here, with their shards
         self._rounds, self._positions = count(1), count(1)
--- a/sableford/store/replica_placement.py
+++ b/sableford/store/replica_placement.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 
 from sableford.control.view import View
-from sableford.store.durability import Tolerated, Topology, is_durable, loss_is_borne
+from sableford.store.durability import Tolerated, Topology, is_durable, is_loss_tolerated
 from sableford.store.messages import Message
 from sableford.store.queue_state import QueueState
 
@@ -40,7 +40,8 @@
         self._counted = {
             name
             for name, store in stores
-            if not store.retiring and not (store.leaving and (self._others_suffice or name in view.spared))
+            if not store.retiring
+            and not (store.leaving and (self._others_suffice or name in view.dispensable))
         }
 
     def counted_stores(self) -> set[str]:
@@ -86,8 +87,8 @@
         """Whether no accepted message can be only on stores of the roster outside `answered`."""
         self._update()
         view = self._state.view
-        missing = {*view.roster}.difference(answered, view.spared)
-        return loss_is_borne(missing, self._topology, self._limits)
+        missing = {*view.roster}.difference(answered, view.dispensable)
+        return is_loss_tolerated(missing, self._topology, self._limits)
 
     def is_isolated(self) -> bool:
         """Whether too few other stores respond to make a message durable, so that none can be accepted."""
--- a/sableford/store/server.py
+++ b/sableford/store/server.py
@@ -16,21 +16,21 @@
 from sableford.control.protocol import ConfigurationVersion
 from sableford.control.record_storage import RecordStorage
 from sableford.control.service import ControlService
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.node.runtime import Runtime, StoreStatus
-from sableford.store.choice import Choice, WorkerEntry
-from sableford.store.departure import may_end
 from sableford.store.duties import StoreDuties
 from sableford.store.effect_executor import EffectExecutor
 from sableford.store.message_storage import BodyReader, Clocks, MessageStorage
 from sableford.store.peer_requests import PeerRequests
-from sableford.store.protocol import InFlightCounts, InFlightCountsWanted
+from sableford.store.protocol import InFlightCounts, InFlightCountsQuery
 from sableford.store.queue import Queue
-from sableford.transport.http import Bounds
+from sableford.store.shutdown import may_exit
+from sableford.store.worker_selection import WorkerEntry, WorkerSelector
+from sableford.transport.http import ConnectionLimits
 from sableford.transport.http_server import HttpServer
 from sableford.transport.link import Link
 from sableford.transport.messages import PeerMessage
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 
 TICK_MS = 15.0  # between two ticks of the queue
 REPORT_MS = 40.0  # between two reports of in-flight counts to the other stores
@@ -44,7 +44,7 @@
 COMPLETE_KEY, ZONES_KEY, PROBE_KEY, RECORD_PREFIX = b"n", b"z", b"p", b"r"  # keys on disk
 COMPLETE = b"whole"  # value meaning that the disk still holds all that it ever confirmed
 FOLDER_BEFORE_0_4 = "margherita"  # the name of the data folder up to version 0.3
-NO_VIEW: Number = (0, 0)
+NO_VIEW: ViewNumber = (0, 0)
 
 
 class StoreServer:
@@ -55,10 +55,10 @@
         settings = runtime.settings
         self._loop = runtime.loop
         self.disk = Disk(_data_folder(Path(settings.data_dir or "")), settings.limits.disk_mb)
-        self.choice = Choice(settings.zone, settings.node_name)
+        self.selector = WorkerSelector(settings.zone, settings.node_name)
         self.control = ControlService(runtime, self.disk)
-        self._http_bounds = Bounds()
-        self._http_bounds.body = MAX_CONTROL_BODY_BYTES
+        self._http_bounds = ConnectionLimits()
+        self._http_bounds.max_body_bytes = MAX_CONTROL_BODY_BYTES
         self._http_server = HttpServer(self.control.handle, self._http_bounds)
         self._duties = StoreDuties(runtime, self.member) if settings.reports_usage else None
         self._written_zones: dict[str, str] = {}  # on the local disk
@@ -107,7 +107,7 @@
             self.queue,
             storage,
             bodies,
-            self.choice,
+            self.selector,
             self.links,
             self.log,
             runtime.now,
@@ -115,7 +115,7 @@
             self._duties.usage if self._duties is not None else None,
         )
         self.peer_requests = PeerRequests(
-            self.queue, self.executor, storage, bodies, self.choice, runtime.now, runtime.spawn
+            self.queue, self.executor, storage, bodies, self.selector, runtime.now, runtime.spawn
         )
         self._load_zones()
         self._load_messages(storage)
@@ -127,7 +127,7 @@
             whole=is_complete,
             messages=len(self.queue.state.messages),
             ends=len(self.queue.state.final_states),
-            entries=len(self._record_storage.held.entries),
+            entries=len(self._record_storage.stored_state.entries),
         )
 
     def _make_queue(self, is_complete: bool) -> Queue:
@@ -137,8 +137,8 @@
             self.runtime.me,
             self.runtime.incarnation,
             tolerates.machine_loss,
-            Table(),
-            self.choice,
+            RoutingTable(),
+            self.selector,
             bounds.status_ttl_s,
             is_complete,
             tolerates.zones,
@@ -170,9 +170,9 @@
     def _open_record(self) -> None:
         settings = self.runtime.settings
         self._record_storage = RecordStorage(self.disk.load(RECORD_PREFIX))
-        if self._record_storage.fresh:
+        if self._record_storage.is_new:
             first_voters = sorted(settings.seeds) if settings.bootstrap else ()
-            self.disk.write(self._record_storage.begin(first_voters))
+            self.disk.write(self._record_storage.initial_write(first_voters))
 
     # Time
 
@@ -190,12 +190,12 @@
         """Reports changed in-flight counts to the other stores, and requests those that are out of date."""
         scale = max(1.0, len(self.member.view.live_stores) / UNSCALED_STORES)
         self._loop.call_later(REPORT_MS * scale / 1000.0, self._report_in_flight)
-        if changed := self.choice.changed:
-            self._send_to_stores(InFlightCounts(self.choice.own_counts(changed)))
-            self.choice.changed = set()
-        if stale := self.choice.stale:
-            self._send_to_stores(InFlightCountsWanted(sorted(stale)))
-            self.choice.stale = set()
+        if changed := self.selector.changed:
+            self._send_to_stores(InFlightCounts(self.selector.own_counts(changed)))
+            self.selector.changed = set()
+        if stale := self.selector.stale:
+            self._send_to_stores(InFlightCountsQuery(sorted(stale)))
+            self.selector.stale = set()
 
     def _send_to_stores(self, message: PeerMessage) -> None:
         for name in self.member.view.live_stores:
@@ -203,18 +203,18 @@
                 link.send(message)
 
     def _link_up(self, name: str, link: Link) -> None:
-        link.send(InFlightCounts(self.choice.own_counts()))
+        link.send(InFlightCounts(self.selector.own_counts()))
 
     def _repair(self) -> None:
         self._loop.call_later(REPAIR_MS / 1000.0, self._repair)
-        self.executor.delivery_client.sweep(set(self.choice.workers))
+        self.executor.delivery_client.sweep(set(self.selector.workers))
         self.executor.carry_out(self.queue.repair(self.runtime.now()))
         if expired := self.queue.expire_final_states(time.time() * 1000.0):
             self._storage.remove_all(expired)
         self._update_status()
         self.queue.state.full = self.disk.full
         if self.disk.full:  # probe whether it takes writes again; nothing else would try
-            self.disk.write([(PROBE_KEY, b"")], more=True).add_done_callback(_ignore_failure)
+            self.disk.write([(PROBE_KEY, b"")], adds_data=True).add_done_callback(_ignore_failure)
         if self.queue.state.complete and not self._completeness_written:
             self._completeness_written = True
             self.disk.write([(COMPLETE_KEY, COMPLETE)])
@@ -255,7 +255,7 @@
             self.disk.write([(ZONES_KEY, orjson.dumps(zones))]).add_done_callback(_ignore_failure)
 
     def _configuration_changed(self, config: ConfigurationVersion) -> None:
-        table = Table(config.revision, config.document)
+        table = RoutingTable(config.revision, config.document)
         self.executor.carry_out(self.queue.configure(self.runtime.now(), table))
         self.log.event("config", revision=table.revision)
 
@@ -263,14 +263,14 @@
         """Handles a change of one worker or, if `id` is None, of any."""
         now, workers = self.runtime.now(), self.member.workers
         if id is None:
-            self.choice.keep(set(workers))
+            self.selector.retain(set(workers))
         elif id not in workers:
-            self.choice.drop(id)
+            self.selector.remove(id)
         for worker in workers.values() if id is None else filter(None, [workers.get(id)]):
             host, port = address(worker.address)
             ready = worker.phase == "ready"
             entry = WorkerEntry(worker.id, worker.backend, host, port, worker.zone, worker.capacity, ready)
-            self.choice.put(now, entry, worker.cold_ms)
+            self.selector.put(now, entry, worker.slow_start_ms)
         self.control.coordinator.observe(self.member.view, workers.values(), now)
         self.executor.carry_out(self.queue.tick(now, time.time() * 1000.0))
 
@@ -287,9 +287,9 @@
         grace_ms = self.runtime.settings.rule_bounds.grace_s * 1000.0
         started_at = self.runtime.now()
         until = started_at + grace_ms - DEPARTURE_MARGIN_MS
-        while self.runtime.now() < until and not may_end(self.queue):
+        while self.runtime.now() < until and not may_exit(self.queue):
             await asyncio.sleep(DEPARTURE_CHECK_MS / 1000.0)
-        self._http_server.shut()
+        self._http_server.stop_accepting()
         await asyncio.sleep(CLOSE_MS / 1000.0)
         waited_ms = round(self.runtime.now() - started_at)
         self.log.event(
--- a/sableford/store/shard_takeover.py
+++ b/sableford/store/shard_takeover.py
@@ -6,12 +6,11 @@
 the results of its deliveries in flight.
 """
 
-from sableford.control.view import Number, View, shard_in
+from sableford.control.view import View, ViewNumber, shard_of_ref
 from sableford.store.acceptance import REFUSED_MAYBE_KEPT, Acceptance
-from sableford.store.choice import Choice
 from sableford.store.delivery_order import DeliveryOrder
-from sableford.store.endings import Endings
 from sableford.store.final_state_replication import FinalStateReplication
+from sableford.store.message_finalization import MessageFinalization
 from sableford.store.message_replication import MessageReplication
 from sableford.store.messages import (
     AskFinalStates,
@@ -28,6 +27,7 @@
 from sableford.store.queue_state import QueueState
 from sableford.store.replica_placement import ReplicaPlacement
 from sableford.store.takeover import Takeover
+from sableford.store.worker_selection import WorkerSelector
 
 COMPARISON = 0  # round number of pulls that only compare
 
@@ -39,31 +39,31 @@
         self,
         state: QueueState,
         placement: ReplicaPlacement,
-        choice: Choice,
+        selector: WorkerSelector,
         order: DeliveryOrder,
         replication: MessageReplication,
         final_states: FinalStateReplication,
-        endings: Endings,
+        finalization: MessageFinalization,
         acceptance: Acceptance,
     ) -> None:
-        self._state, self._placement, self._choice, self._order = state, placement, choice, order
+        self._state, self._placement, self._selector, self._order = state, placement, selector, order
         self._replication, self._final_states = replication, final_states
-        self._endings, self._acceptance = endings, acceptance
+        self._finalization, self._acceptance = finalization, acceptance
         self._seen: dict[str, str] = {}  # incarnation of each store in the last view
-        self._comparing: dict[str, dict[int, Number]] = {}  # comparisons in progress: shards by store
+        self._comparing: dict[str, dict[int, ViewNumber]] = {}  # comparisons in progress: shards by store
         self._compared: dict[str, tuple[str, set[int]]] = {}  # by store: incarnation and shards
 
     def apply_view(self, now: float, view: View) -> None:
         """Applies a newer view."""
         state = self._state
         state.view = view
-        assigned = {shard: view.epochs[shard] for shard in view.owned(state.me, state.incarnation)}
+        assigned = {shard: view.epochs[shard] for shard in view.shards_owned_by(state.me, state.incarnation)}
         own = view.live_stores.get(state.me)
         if own is not None and own.incarnation == state.incarnation:
             state.complete = state.complete or own.complete
         gone, new = self._changed_stores(view)
         for name in sorted(gone):
-            self._choice.forget(name)
+            self._selector.forget_store(name)
         self._release_lost(assigned)
         self._begin_takeovers(now, assigned)
         self._forget_holders(now, gone)
@@ -79,7 +79,7 @@
             if is_here and not self._placement.is_safe(message):
                 self._replication.copy_later(message)
         self._replication.copy_waiting(now)
-        self._endings.copy_all(now)
+        self._finalization.copy_all(now)
 
     def _changed_stores(self, view: View) -> tuple[set[str], set[str]]:
         """Returns the stores whose previous incarnation is gone, and those with a new one."""
@@ -89,7 +89,7 @@
         new = {name for name, one in self._seen.items() if before.get(name) != one}
         return gone - {me}, new - {me}
 
-    def _release_lost(self, assigned: dict[int, Number]) -> None:
+    def _release_lost(self, assigned: dict[int, ViewNumber]) -> None:
         released = [shard for shard, epoch in self._state.owned.items() if assigned.get(shard) != epoch]
         for shard in released:
             self._release(shard)
@@ -111,7 +111,7 @@
                 message.state = State.REPLICA
             self._order.forget_key(message)
 
-    def _begin_takeovers(self, now: float, assigned: dict[int, Number]) -> None:
+    def _begin_takeovers(self, now: float, assigned: dict[int, ViewNumber]) -> None:
         state = self._state
         for takeover in self.in_progress():
             takeover.shards &= assigned.keys()
@@ -268,7 +268,7 @@
         """Continues with a message where the previous owner left it. Returns False if it has ended."""
         state = self._state
         if (final_state := state.final_states.get(message.ref)) is not None:
-            self._endings.finish(now, message, final_state)
+            self._finalization.finish(now, message, final_state)
             return False
         if not self._placement.is_safe(message):
             message.copied_at = {}
@@ -306,7 +306,7 @@
         # If a shard has changed its owner since the request, unknown messages in it may be the new owner's.
         still_owned = {shard for shard, epoch in asked.items() if self._state.owned.get(shard) == epoch}
         for ref in sorted(response.refs):
-            shard = shard_in(ref)
+            shard = shard_of_ref(ref)
             if shard is not None and shard in still_owned:
                 self._compare_message(now, store, ref, shard)
         self._record_compared(store, still_owned)
--- a/sableford/store/departure.py
+++ b/sableford/store/shutdown.py
@@ -7,14 +7,14 @@
     work that was begun here is not finished               no
     the view does not contain this incarnation             yes: it is no longer a member
     the view contains no store that stays                  yes: there is no store to copy to
-    the view does not spare this store, on the roster      no: it is in use, or has the only copy of something
-    the view spares it, or it is no longer on the roster   yes
+    the view does not mark it dispensable, on the roster   no: it is in use, or has the only copy of something
+    the view marks it dispensable, or it is off the roster yes
 """
 
 from sableford.store.queue import Queue
 
 
-def may_end(queue: Queue) -> bool:
+def may_exit(queue: Queue) -> bool:
     """Whether nothing that this store holds is still needed."""
     if queue.is_busy():
         return False
@@ -25,4 +25,4 @@
     staying = [name for name, one in view.live_stores.items() if not one.leaving and name != queue.state.me]
     if not staying:
         return True
-    return own.leaving and (queue.state.me in view.spared or queue.state.me not in view.roster)
+    return own.leaving and (queue.state.me in view.dispensable or queue.state.me not in view.roster)
--- a/sableford/store/choice.py
+++ b/sableford/store/worker_selection.py
@@ -2,14 +2,14 @@
 
 A worker's estimated load is the number of deliveries that the other stores last reported in flight there,
 plus this store's own deliveries in flight. A rotation names a candidate, which is taken if its load is within
-a local bound of the lowest (`sableford.policy.bound`); counts that violate the bound are requested again.
+a local bound of the lowest (`sableford.policy.local_bound`). Counts that violate it are requested again.
 `docs/design.md` lists where this departs from the published algorithm, and under which conditions.
 """
 
 from typing import NamedTuple
 
-from sableford.policy.bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, breaks, point, within
-from sableford.transport.routes import Table
+from sableford.policy.local_bound import AGE_LIMIT, IMBALANCE, UNCERTAINTY, hash32, pick_within, violations
+from sableford.transport.routes import RoutingTable
 
 # Jobs added for a worker in another zone: a body that crosses zones costs 2% of its worth.
 CROSS_ZONE_PENALTY = 1.0
@@ -75,7 +75,7 @@
         return self.own_in_flight + self.others_in_flight
 
 
-class Choice:
+class WorkerSelector:
     """The workers as seen by one store. `seed` makes the random choices reproducible."""
 
     def __init__(self, zone: str, seed: str) -> None:
@@ -88,7 +88,7 @@
 
     def _random_below(self, bound: int) -> int:
         self._random_draws += 1
-        return point(f"{self._seed}:{self._random_draws}".encode()) * bound >> 32
+        return hash32(f"{self._seed}:{self._random_draws}".encode()) * bound >> 32
 
     # Registration
 
@@ -110,25 +110,25 @@
         known.ejected_until, known.consecutive_failures = 0.0, 0
         self._rebuild_index()
 
-    def drop(self, id: str) -> None:
+    def remove(self, id: str) -> None:
         """Removes a worker, if it is known."""
         if self.workers.pop(id, None) is not None:
             self._rebuild_index()
 
-    def keep(self, ids: set[str]) -> None:
+    def retain(self, ids: set[str]) -> None:
         """Removes all registered workers but these. Fixed endpoints stay."""
         for id in [id for id, one in self.workers.items() if id not in ids and not one.entry.fixed]:
-            self.drop(id)
+            self.remove(id)
 
-    def fix(self, now: float, table: Table) -> None:
+    def set_fixed_endpoints(self, now: float, table: RoutingTable) -> None:
         """Applies the fixed endpoints of the configuration, which do not register as workers."""
         fixed = {f"@{one.name}": one for one in table.backends.values() if one.endpoint}
         for id, known in list(self.workers.items()):
             if known.entry.fixed and id not in fixed:
-                self.drop(id)
+                self.remove(id)
         for id, one in fixed.items():
             host, _, port = str(one.endpoint).rpartition(":")
-            entry = WorkerEntry(id, one.name, host, int(port), self.zone, one.conns, True, True)
+            entry = WorkerEntry(id, one.name, host, int(port), self.zone, one.max_connections, True, True)
             if id not in self.workers or self.workers[id].entry != entry:
                 self.put(now, entry, 0.0)
 
@@ -143,7 +143,7 @@
 
     # Counts
 
-    def told(self, now: float, store: str, counts: dict[str, int]) -> None:
+    def update_reported_counts(self, now: float, store: str, counts: dict[str, int]) -> None:
         """Records how many deliveries another store has in flight, by worker."""
         for id, count in counts.items():
             worker = self.workers.get(id)
@@ -153,7 +153,7 @@
                 worker.reported_counts[store] = count
                 worker.reported_at = now
 
-    def forget(self, store: str) -> None:
+    def forget_store(self, store: str) -> None:
         """Discards the counts of a store that is gone: nobody waits for its deliveries any more."""
         for worker in self.workers.values():
             worker.others_in_flight -= worker.reported_counts.pop(store, 0)
@@ -191,19 +191,19 @@
         self._rotation += 1
         load, candidate = loads[self._rotation % len(loads)]
         bound = IMBALANCE - UNCERTAINTY
-        for lower_load, one in breaks(loads, load - bound, lambda one: now - one.reported_at > AGE_LIMIT):
+        for lower_load, one in violations(loads, load - bound, lambda one: now - one.reported_at > AGE_LIMIT):
             del lower_load
             if now - one.refresh_requested_at >= AGE_LIMIT:
                 one.refresh_requested_at = now
                 self.stale.add(one.entry.id)
-        return within(loads, load, candidate, bound, self._random_below)
+        return pick_within(loads, load, candidate, bound, self._random_below)
 
-    def sent(self, worker: Worker) -> None:
+    def delivery_started(self, worker: Worker) -> None:
         """Records the start of a delivery."""
         worker.own_in_flight += 1
         self.changed.add(worker.entry.id)
 
-    def finished(
+    def delivery_finished(
         self, now: float, worker: Worker, responded: bool, unreachable: bool, rejected: bool = False
     ) -> None:
         """Records the end of a delivery.
--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -11,7 +11,7 @@
 from sableford.control.coordinator import Coordinator
 from sableford.control.departures import Departures
 from sableford.control.effects import RemoveStore
-from sableford.control.presence import KEEPS_SEAT, Presence, PresenceTracker, patience_ms
+from sableford.control.presence import KEEPS_VOTE, Presence, PresenceTracker, absence_limit_ms
 from sableford.control.protocol import JoinRequest, RenewRequest
 from sableford.control.retirement import Phase, RetirementRefusedError, begin_retirement, phase_of
 from sableford.control.roster import Roster
@@ -20,13 +20,13 @@
 from sableford.control.voter_selection import Candidate, Tolerance, seats_needed, select_voters
 from sableford.simulation.membership.model import SimulatedStore
 from sableford.simulation.membership.walk import MembershipSimulation, Wrong
-from sableford.transport.http import Answer, Request
+from sableford.transport.http import HttpRequest, HttpResponse
 from tests.control_service import core, joins, run_core
 from tests.record_growth import Group
 
 S, U, A, L, R, G = (
     Presence.SERVING,
-    Presence.UNHEARD,
+    Presence.NOT_JOINED,
     Presence.ABSENT,
     Presence.LEAVING,
     Presence.RETIRING,
@@ -125,7 +125,7 @@
     assert all(one.presence in (S, R) for one in chosen if one.name not in voters), found
     # One that goes keeps its seat only where no store is left to take it.
     spare = [one for one in there if one.name not in (*voters, *found.voters) and one.presence is S]
-    going = [one for one in chosen if one.presence not in KEEPS_SEAT]
+    going = [one for one in chosen if one.presence not in KEEPS_VOTE]
     assert not (spare and going), (found, spare, going)
     # What it says of the losses that it bears is true of each single one.
     for places, bears, place_of in (
@@ -144,29 +144,29 @@
 
 def shows_a_store_s_place_has_moved_before_the_next_one_may_be_lost() -> None:
     for sync_s in (1.0, 2.0, 3.0, 4.4, 6.0, 20.0):
-        assert patience_ms(sync_s) <= max(0.0, sync_s * 1000.0 - 1800.0)
-        assert patience_ms(sync_s) <= 0.4 * sync_s * 1000.0
+        assert absence_limit_ms(sync_s) <= max(0.0, sync_s * 1000.0 - 1800.0)
+        assert absence_limit_ms(sync_s) <= 0.4 * sync_s * 1000.0
 
 
 def shows_a_leader_forgets_who_was_away_when_it_led_before() -> None:
     tracker = PresenceTracker(1760.0)
-    assert tracker.of(0.0, "a", True) is S
-    assert tracker.of(100.0, "a", False) is A and tracker.of(1900.0, "a", False) is G
+    assert tracker.presence_of(0.0, "a", True) is S
+    assert tracker.presence_of(100.0, "a", False) is A and tracker.presence_of(1900.0, "a", False) is G
     tracker.observe(50_000.0, {"a": StoreInfo("a.1", "z")}, "a")  # as another leader says
-    tracker.begin(60_000.0)
-    assert tracker.of(60_000.0, "a", False) is U
-    assert tracker.of(61_700.0, "a", False) is U and tracker.of(61_800.0, "a", False) is G
+    tracker.become_leader(60_000.0)
+    assert tracker.presence_of(60_000.0, "a", False) is U
+    assert tracker.presence_of(61_700.0, "a", False) is U and tracker.presence_of(61_800.0, "a", False) is G
 
 
 def shows_a_new_leader_knows_from_the_view_who_had_said_that_it_leaves() -> None:
     tracker = PresenceTracker(1760.0)
     tracker.observe(0.0, {"a": StoreInfo("a.1", "z", leaving=True), "b": StoreInfo("b.1", "z")}, "ab")
-    assert tracker.of(0.0, "a", False) is G and tracker.of(0.0, "b", False) is U
+    assert tracker.presence_of(0.0, "a", False) is G and tracker.presence_of(0.0, "b", False) is U
     tracker.observe(0.0, {"a": StoreInfo("a.2", "z")}, "ab")  # it was a restart
-    assert tracker.of(10.0, "a", False) is U
+    assert tracker.presence_of(10.0, "a", False) is U
     tracker.observe(2000.0, {}, "a")  # gone without a word, as another leader's view says
-    tracker.begin(4000.0)
-    assert tracker.of(4100.0, "a", False) is U and tracker.of(4600.0, "a", False) is G
+    tracker.become_leader(4000.0)
+    assert tracker.presence_of(4100.0, "a", False) is U and tracker.presence_of(4600.0, "a", False) is G
 
 
 # The roster
@@ -259,10 +259,12 @@
 
 
 def shows_of_two_retirements_at_once_the_second_counts_the_first_as_gone() -> None:
-    async def scene() -> list[Answer]:
+    async def scene() -> list[HttpResponse]:
         control, clock = core(1)
         await joined(control, clock, ["s00", "s01", "s02", "s03"])
-        requests = [Request("POST", b"/v1/retire/node-s0%d/start" % at, [], b"", True) for at in (1, 2, 1)]
+        requests = [
+            HttpRequest("POST", b"/v1/retire/node-s0%d/start" % at, [], b"", True) for at in (1, 2, 1)
+        ]
         calls = [asyncio.ensure_future(control.handle(request)) for request in requests]
         assert await run_core(control, clock, lambda: all(call.done() for call in calls), 500.0)
         assert list(control.roster.retiring) == ["node-s01"]
@@ -276,9 +278,9 @@
     async def scene() -> None:
         control, clock = core()
         assert await run_core(control, clock, lambda: control.leads)
-        control.record.wanted = ("s09",)  # as it was when it led before
+        control.record.wanted_voters = ("s09",)  # as it was when it led before
         control._voter_manager.update(clock[0], leads=False)
-        assert control.record.wanted == ("s00",)
+        assert control.record.wanted_voters == ("s00",)
 
     asyncio.run(scene())
 
@@ -298,7 +300,7 @@
 
     def select(self, candidates: list[Candidate]) -> tuple[str, ...]:
         wanted = super().select(candidates)
-        keeps = {one.name for one in candidates if one.presence in KEEPS_SEAT}
+        keeps = {one.name for one in candidates if one.presence in KEEPS_VOTE}
         return tuple(name for name in wanted if name in keeps)
 
 
@@ -332,10 +334,10 @@
         stay = {name: msgspec.structs.replace(one, leaving=False) for name, one in live_stores.items()}
         super().observe(now, stay, known)
 
-    def of(
+    def presence_of(
         self, now: float, name: str, member: bool, leaving: bool = False, retiring: bool = False
     ) -> Presence:
-        return super().of(now, name, member, False, retiring)
+        return super().presence_of(now, name, member, False, retiring)
 
 
 class FixedTimes(MembershipSimulation):
@@ -402,12 +404,12 @@
 class Forgetful(Departures):
     """Keeps no evidence, and hears none of a store that is still there."""
 
-    def told(self, safe, spares) -> None:
-        super().told(safe, (0, 0))
+    def observe_safe_views(self, safe, spares) -> None:
+        super().observe_safe_views(safe, (0, 0))
 
-    def over(self, now: float, emptied: dict) -> list[str]:
-        found = super().over(now, emptied)
-        self._spared = set()
+    def removable(self, now: float, emptied: dict) -> list[str]:
+        found = super().removable(now, emptied)
+        self._dispensable = set()
         return found
 
 
@@ -498,10 +500,10 @@
 
 def shows_a_voter_that_is_emptied_where_fewer_are_enough_votes_no_more() -> None:
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     stay = sorted(name for name in "abc" if name != leader.name)[:1] + [leader.name]
-    group.want(stay)  # no store may be lost: two of three seats are left, and nobody is to come
-    assert group.run(3000.0, lambda: sorted(group.led().stable_voters() or {}) == sorted(stay))
+    group.set_wanted_voters(stay)  # no store may be lost: two of three seats are left, and nobody is to come
+    assert group.run(3000.0, lambda: sorted(group.wait_for_leader().stable_voters() or {}) == sorted(stay))
 
 
 def shows_voters_bear_the_loss_of_a_zone_again_after_one_was_lost() -> None:
--- a/tests/order.py
+++ b/tests/order.py
@@ -17,14 +17,14 @@
 
 from sableford.control.view import SHARDS, StoreInfo, View, shard_of
 from sableford.simulation.stores import DOC
-from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.delivery_order import DeliveryOrder
-from sableford.store.endings import Endings
+from sableford.store.message_finalization import MessageFinalization
 from sableford.store.messages import Deliver, Message, RespondToPut, WriteFinalState, WriteMessage
 from sableford.store.protocol import PutRequest
 from sableford.store.queue import Queue, QueueParts
 from sableford.store.replica_placement import ReplicaPlacement
-from sableford.transport.routes import Table
+from sableford.store.worker_selection import WorkerEntry, WorkerSelector
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
 
 KEYS = ["", "k1", "k2"]
@@ -52,10 +52,10 @@
         """Starts the store: its disk is complete, it is alone on the roster and owns all shards."""
         self.starts += 1
         incarnation = f"b{self.starts}"
-        choice = Choice("z", incarnation)
-        self.queue = self.queue_type("s", incarnation, 0, Table(1, DOC), choice, 600.0, True)
+        selector = WorkerSelector("z", incarnation)
+        self.queue = self.queue_type("s", incarnation, 0, RoutingTable(1, DOC), selector, 600.0, True)
         for at in range(2):
-            choice.put(self.now, WorkerEntry(f"w{at}", "a", "10.0.0.1", 80, "z", 2, True), 0.0)
+            selector.put(self.now, WorkerEntry(f"w{at}", "a", "10.0.0.1", 80, "z", 2, True), 0.0)
         for (kind, ref), value in self.disk.items():
             if kind == "e":
                 self.queue.state.final_states[ref] = value
@@ -194,7 +194,7 @@
         return True
 
 
-class NeverEnds(Endings):
+class NeverEnds(MessageFinalization):
     """Delivers a message again instead of ending it."""
 
     def finish(self, now, message, final_state):
@@ -228,7 +228,7 @@
     for part, faulty in (
         ("order", SendsOutOfTurn),
         ("placement", NeedsNoDisk),
-        ("endings", NeverEnds),
+        ("finalization", NeverEnds),
     ):
         try:
             with redirect_stdout(StringIO()):
--- a/tests/pairs.py
+++ b/tests/pairs.py
@@ -17,10 +17,9 @@
 
 import msgspec
 
-from sableford.control.view import Number, View
+from sableford.control.view import View, ViewNumber
 from sableford.simulation.stores import Simulation
-from sableford.store import choice as store_choice
-from sableford.store import messages
+from sableford.store import messages, worker_selection
 from sableford.store.messages import Message, State
 from sableford.store.protocol import (
     CopyRequest,
@@ -32,6 +31,7 @@
     PutResponse,
 )
 from sableford.store.queue import Queue
+from sableford.transport import routes
 from sableford.transport.verdict import Execution, Verdict
 
 PREVIOUS_COMMIT = "863ec06101c9455979cb737f54ec6ce3914f12af"  # updated with each merge to the main branch
@@ -104,7 +104,7 @@
     def body(self, body: bytes | None) -> None:
         self.older.body = body
 
-    def copy_request(self, now: float, epoch: Number) -> CopyRequest:
+    def copy_request(self, now: float, epoch: ViewNumber) -> CopyRequest:
         head = self.older.head | self.older.times(now) | {"epoch": epoch, "tries": self.older.tries}
         return msgspec.convert(head, CopyRequest)
 
@@ -315,9 +315,21 @@
     "holds_lease": "holds",
     "is_busy": "busy",
     "is_safe": "safe",
+    "selector": "choice",
 }
 
-# The older queue calls the worker selection of this version, whose attributes have other names.
+# The older queue is given objects of this version, whose attributes have other names.
+OLDER_ROUTE_NAMES = {"start_ms": "start_target_ms", "tries": "max_attempts"}
+OLDER_BACKEND_NAMES = {"conns": "max_connections"}
+OLDER_SELECTOR_NAMES = {
+    "fix": "set_fixed_endpoints",
+    "keep": "retain",
+    "drop": "remove",
+    "told": "update_reported_counts",
+    "forget": "forget_store",
+    "sent": "delivery_started",
+    "finished": "delivery_finished",
+}
 OLDER_WORKER_NAMES = {
     "line": "entry",
     "own": "own_in_flight",
@@ -340,8 +352,14 @@
             print("no history: the previous version is not run")
             return
         before = type("Before", (OlderQueue,), {"modules": found})
-        for older, newer in OLDER_WORKER_NAMES.items():
-            setattr(store_choice.Worker, older, Alias(newer))
+        for kind, names in (
+            (worker_selection.WorkerSelector, OLDER_SELECTOR_NAMES),
+            (worker_selection.Worker, OLDER_WORKER_NAMES),
+            (routes.Route, OLDER_ROUTE_NAMES),
+            (routes.Backend, OLDER_BACKEND_NAMES),
+        ):
+            for older, newer in names.items():
+                setattr(kind, older, Alias(newer))
         accepted = 0
         for seed in range(12):
             # Each store starts as one of the two versions, and as the other after each restart.
--- a/tests/store_fences.py
+++ b/tests/store_fences.py
@@ -4,11 +4,11 @@
 
 from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.simulation.stores import DOC, Simulation, Wrong
-from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.messages import Deliver, DropReplica, Effect, Pull, State
 from sableford.store.protocol import MessageState, PullResponse, PutRequest
 from sableford.store.queue import Queue
-from sableford.transport.routes import Table
+from sableford.store.worker_selection import WorkerEntry, WorkerSelector
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
 
 PUT = PutRequest(
@@ -33,7 +33,7 @@
     return View((1, count), [owner] * SHARDS, [incarnations[owner]] * SHARDS, [(1, count)] * SHARDS, stores)
 
 
-def takes_over(queue: Queue, now: float, count: int) -> list[Effect]:
+def take_over(queue: Queue, now: float, count: int) -> list[Effect]:
     """Makes s0 the owner, to which s1 answers what it holds."""
     asked = [effect for effect in queue.apply_view(now, view(count, "s0")) if isinstance(effect, Pull)]
     effects = [effect for pull in asked for effect in queue.pull_answered(now, "s1", pull.round, KNOWS)]
@@ -43,12 +43,12 @@
     ]
 
 
-def with_a_message_out() -> Queue:
+def queue_with_delivery_in_flight() -> Queue:
     """Returns the queue of s0, which owns all shards and has one delivery in flight."""
-    queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
-    queue.choice.put(0.0, WorkerEntry("w", "a", "10.0.0.9", 80, "z0", 2, True), 0.0)
+    queue = Queue("s0", "b0", 1, RoutingTable(1, DOC), WorkerSelector("z0", "s0"), 600.0, True)
+    queue.selector.put(0.0, WorkerEntry("w", "a", "10.0.0.9", 80, "z0", 2, True), 0.0)
     queue.state.lease = 1e9
-    takes_over(queue, 0.0, 1)
+    take_over(queue, 0.0, 1)
     queue.put(0.0, PUT, b"x", "edge")
     queue.message_written(0.0, "00-a")
     sent = queue.message_copied(0.0, "00-a", "s1", True)
@@ -57,9 +57,9 @@
 
 
 def shows_a_message_in_flight_is_not_sent_again_when_its_shard_returns_to_the_sender() -> None:
-    queue = with_a_message_out()
+    queue = queue_with_delivery_in_flight()
     queue.apply_view(10.0, view(2, "s1"))
-    effects = takes_over(queue, 20.0, 3)
+    effects = take_over(queue, 20.0, 3)
     for now in range(30, 900, 15):
         effects += queue.tick(float(now), 0.0)
     assert not [effect for effect in effects if isinstance(effect, Deliver)]
@@ -69,14 +69,14 @@
 
 
 def shows_a_store_confirms_results_only_for_shards_that_it_owns() -> None:
-    queue = with_a_message_out()
+    queue = queue_with_delivery_in_flight()
     assert queue.accepts_results(0)
     queue.apply_view(10.0, view(2, "s1"))
     assert not queue.accepts_results(0)
 
 
 def shows_a_store_without_a_lease_lets_no_store_drop_a_replica() -> None:
-    queue = with_a_message_out()
+    queue = queue_with_delivery_in_flight()
     compared = PullResponse(True, ["00-unknown"], [], {})
     back = view(1, "s0", "b2")
     back.number = (1, 2)  # s0 owns all as before; s1 has returned and is compared
--- a/tests/store_losses.py
+++ b/tests/store_losses.py
@@ -7,7 +7,7 @@
 from sableford.control.coordinator import Coordinator
 from sableford.control.view import NO_VIEW, SHARDS
 from sableford.simulation.stores import Simulation, Wrong
-from sableford.store.durability import Tolerated, Topology, is_durable, loss_is_borne
+from sableford.store.durability import Tolerated, Topology, is_durable, is_loss_tolerated
 from sableford.store.final_state_replication import FinalStateReplication
 from sableford.store.queue import Queue
 from sableford.store.replica_placement import ReplicaPlacement
@@ -65,7 +65,7 @@
 
     def can_open(self, answered):
         view = self._state.view
-        return len({*view.roster}.difference(answered, view.spared)) <= self.tolerated.machines
+        return len({*view.roster}.difference(answered, view.dispensable)) <= self.tolerated.machines
 
 
 IgnoresZones, WaitsForMachines = with_parts(placement=AnyZone), with_parts(placement=SingleMachines)
@@ -112,7 +112,7 @@
 def shows_no_tolerated_loss_takes_every_copy(zones, regions, tolerated, holders, missing) -> None:
     topology = Topology(zones, regions)
     limits = topology.limit(tolerated, ROSTER)
-    if is_durable(holders, topology, limits) and loss_is_borne(missing, topology, limits):
+    if is_durable(holders, topology, limits) and is_loss_tolerated(missing, topology, limits):
         assert holders - missing
 
 
@@ -127,16 +127,16 @@
     zone_count = len({zones[store] for store in missing})
     by_zones = zone_count <= tolerated.zones and len(set(zones.values())) > tolerated.zones
     if machines or by_zones:
-        assert loss_is_borne(missing, topology, limits)
+        assert is_loss_tolerated(missing, topology, limits)
     elif zone_count > tolerated.zones:
-        assert not loss_is_borne(missing, topology, limits)
+        assert not is_loss_tolerated(missing, topology, limits)
 
 
 def shows_a_store_of_unknown_zone_is_not_part_of_a_lost_zone() -> None:
     topology = Topology({"s0": "a", "s1": "a", "s2": "b"})
     limits = topology.limit(Tolerated(1, 1), ["s0", "s1", "s2", "s9"])
-    assert loss_is_borne({"s0", "s1"}, topology, limits)
-    assert not loss_is_borne({"s0", "s1", "s9"}, topology, limits)
+    assert is_loss_tolerated({"s0", "s1"}, topology, limits)
+    assert not is_loss_tolerated({"s0", "s1", "s9"}, topology, limits)
 
 
 PLANNED = {
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -34,10 +34,9 @@
 from sableford.control.protocol import JoinRequest, JoinResponse, RenewRequest
 from sableford.control.record_storage import RecordStorage
 from sableford.control.timing import QUORUM_FRESH_MS
-from sableford.control.view import SHARDS, StoreInfo, View, shares
+from sableford.control.view import SHARDS, StoreInfo, View, balanced_owners
 from sableford.node.cli import main
 from sableford.simulation.stores import DOC, Simulation, Wrong
-from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.delivery import request_of, verdict_of
 from sableford.store.delivery_results import DeliveryResults
 from sableford.store.message_replication import MessageReplication
@@ -47,12 +46,13 @@
 from sableford.store.queue_state import QueueState
 from sableford.store.replica_placement import ReplicaPlacement
 from sableford.store.shard_takeover import ShardTakeover
+from sableford.store.worker_selection import WorkerEntry, WorkerSelector
 from sableford.transport.frames import FrameReader, encode_frame
-from sableford.transport.http import Answer, Bounds
+from sableford.transport.http import ConnectionLimits, HttpResponse
 from sableford.transport.http_client import ClientConnection, Response
 from sableford.transport.http_server import HttpServer, ServerConnection
 from sableford.transport.link import Response as PeerReply
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
 from tests.control_member import STATUS
 from tests.order import SendsOutOfTurn, with_parts
@@ -149,13 +149,13 @@
 
 
 def shows_a_worker_taken_for_full_by_hearsay_is_asked_after_and_used() -> None:
-    choice = Choice("z", "seed")
+    choice = WorkerSelector("z", "seed")
     lines = [WorkerEntry(f"w{at}", "b", "10.0.0.1", 80, "z", 2, True) for at in range(2)]
     choice.put(0.0, lines[0], 0.0)
-    choice.told(0.0, "other", {"w0": 2})
+    choice.update_reported_counts(0.0, "other", {"w0": 2})
     choice.put(0.0, lines[1], 0.0)  # begins at the others' mean, which is full
     assert choice.choose(10.0, "b") is None and "w1" in choice.stale
-    choice.told(20.0, "other", {"w1": 0})
+    choice.update_reported_counts(20.0, "other", {"w1": 0})
     assert choice.choose(30.0, "b").entry.id == "w1"
 
 
@@ -174,7 +174,7 @@
 
 
 def shows_a_store_that_speaks_to_too_few_others_takes_nothing_new() -> None:
-    queue = Queue("s0", "b0", 1, Table(1, DOC), Choice("z0", "s0"), 600.0, True)
+    queue = Queue("s0", "b0", 1, RoutingTable(1, DOC), WorkerSelector("z0", "s0"), 600.0, True)
     queue.state.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
     queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
     queue.state.unresponsive = {"s1", "s2"}
@@ -187,7 +187,9 @@
 
 def shows_copies_go_to_another_zone_once_and_then_near() -> None:
     def copies(losses: int, zones: int, quiet: tuple[str, ...] = ()) -> list[str]:
-        queue = Queue("s0", "b0", losses, Table(1, DOC), Choice("z0", "s0"), 600.0, True, zones)
+        queue = Queue(
+            "s0", "b0", losses, RoutingTable(1, DOC), WorkerSelector("z0", "s0"), 600.0, True, zones
+        )
         places = {"s0": "z0", "s1": "z0", "s2": "z0", "s3": "z1", "s4": "z2"}
         queue.state.view = View(
             (1, 1), live_stores={name: StoreInfo("b", zone) for name, zone in places.items()}
@@ -203,11 +205,11 @@
 
 def at_one_address(rate: float) -> Queue:
     """A store of three, with a service at one address that bears a rate, and its shard 0."""
-    queue = Queue("s0", "b0", 0, Table(), Choice("z0", "s0"), 600.0, True)
+    queue = Queue("s0", "b0", 0, RoutingTable(), WorkerSelector("z0", "s0"), 600.0, True)
     queue.state.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
     queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
     service = {"name": "a", "endpoint": "10.0.0.9:80", "maxConns": 50, "ratePerS": rate}
-    queue.configure(0.0, Table(2, DOC | {"backends": [service]}))
+    queue.configure(0.0, RoutingTable(2, DOC | {"backends": [service]}))
     return queue
 
 
@@ -240,7 +242,7 @@
         told += queue.message_written(0.0, f"00-{at}")
         out += [one for one in told if isinstance(one, Deliver)]
     assert len(out) == 4  # nothing tells its size: it begins with few
-    entry = queue.choice.workers["@a"].entry
+    entry = queue.selector.workers["@a"].entry
     text = request_of(queue.state.messages[out[0].ref], b"x", entry, 900.0)
     assert (entry.host, entry.port) == ("10.0.0.9", 80) and b"Target-Instance" not in text
     for now in range(1, 400):
@@ -256,16 +258,16 @@
             told = queue.put(200.0 * now, replace(PUT, ref=f"{ref}-{at}", target="/b"), b"x", "edge")
             told += queue.message_written(200.0 * now, f"{ref}-{at}")
             out += [one for one in told if isinstance(one, Deliver)]
-    assert 6 <= queue.choice.workers["@a"].window <= 16, queue.choice.workers["@a"].window
+    assert 6 <= queue.selector.workers["@a"].window <= 16, queue.selector.workers["@a"].window
 
 
 def shows_shards_move_no_more_than_they_must() -> None:
     live_stores = [f"s{at}" for at in range(5)]
-    owners = shares([""] * SHARDS, live_stores)
+    owners = balanced_owners([""] * SHARDS, live_stores)
     assert {owners.count(store_info) for store_info in live_stores} == {SHARDS // 5}
-    fewer = shares(owners, live_stores[1:])
+    fewer = balanced_owners(owners, live_stores[1:])
     assert all(was == now for was, now in zip(owners, fewer, strict=True) if was != "s0")
-    again = shares(fewer, live_stores)
+    again = balanced_owners(fewer, live_stores)
     assert sum(was != now for was, now in zip(fewer, again, strict=True)) == SHARDS // 5
 
 
@@ -346,11 +348,11 @@
 
 
 def visited(
-    parts: list[bytes], handle=lambda request: Answer(200, request.body, kind="text/plain")
+    parts: list[bytes], handle=lambda request: HttpResponse(200, request.body, content_type="text/plain")
 ) -> tuple[bytes, bool]:
     async def visit() -> tuple[bytes, bool]:
-        bounds = Bounds()
-        bounds.head, bounds.body = 400, 50
+        bounds = ConnectionLimits()
+        bounds.max_head_bytes, bounds.max_body_bytes = 400, 50
         one, pipe = ServerConnection(HttpServer(handle, bounds)), Pipe()
         one.connection_made(pipe)
         for part in parts:
@@ -378,7 +380,7 @@
 
     def handle(request):
         reached.append(request)
-        return Answer(200)
+        return HttpResponse(200)
 
     both = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
     twice = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nxyz"
@@ -410,10 +412,10 @@
     async def ask(*parts: bytes) -> tuple[Execution, bool]:
         call, pipe = ClientConnection(), Pipe()
         call.connection_made(pipe)
-        future = call.ask(b"POST")
+        future = call.send_request(b"POST")
         for part in parts:
             call.data_received(part)
-        return verdict_of(await future, "7").execution, call.usable()
+        return verdict_of(await future, "7").execution, call.is_reusable()
 
     assert asyncio.run(ask(own)) == (Execution.FAILED, True)
     assert asyncio.run(ask(other + own)) == (Execution.UNKNOWN, False)
@@ -456,7 +458,7 @@
                 if not {sender, to} & self.deaf:
                     self.do(to, self.all[to].heard(self.now, sender, 1, word))
             for name, record in self.all.items():
-                record.around = tuple(self.all)
+                record.known_members = tuple(self.all)
                 if self.now >= record.due and name not in self.deaf:
                     self.do(name, record.tick(self.now))
         return until()
@@ -466,10 +468,10 @@
             if isinstance(effect, Send):
                 self.words.append((name, effect.to, effect.message))
             elif isinstance(effect, Persist):
-                self.do(name, self.all[name].stored(self.now, effect.number))
+                self.do(name, self.all[name].handle_persisted(self.now, effect.number))
 
     def leader(self) -> RaftNode | None:
-        return next((one for name, one in self.all.items() if one.leads and name not in self.deaf), None)
+        return next((one for name, one in self.all.items() if one.is_leader and name not in self.deaf), None)
 
 
 def shows_a_voter_that_is_gone_is_replaced_by_a_newcomer_and_never_votes_again_by_itself() -> None:
@@ -482,9 +484,9 @@
     fleet.deaf.add(gone)
     fleet.add("d", [leader.name], True)
     assert not fleet.all["d"].voters().get("d")
-    leader.wanted = tuple(sorted({*"abcd"} - {gone}))
+    leader.wanted_voters = tuple(sorted({*"abcd"} - {gone}))
     assert fleet.run(5000.0, lambda: "d" in (leader.stable_voters() or {}))
-    assert set(leader.stable_voters()) == set(leader.wanted)
+    assert set(leader.stable_voters()) == set(leader.wanted_voters)
     # Two of the new three agree, with the old one's vote counting for nothing.
     third = next(name for name in "abc" if name not in (gone, leader.name))
     assert fleet.run(2000.0, lambda: fleet.all["d"].standing is Standing.VOTING)
@@ -494,7 +496,7 @@
     assert fleet.run(2000.0, lambda: leader.state_machine.values.get("k") is not None), number
     fleet.deaf = set()
     old = fleet.all[gone]
-    fleet.do(gone, old.outvoted(fleet.now))
+    fleet.do(gone, old.handle_voted_out(fleet.now))
     assert old.standing is Standing.REPLACED and old.id != f"folder of {gone}"
     assert fleet.run(
         3000.0, lambda: old.state_machine.values.get("k") is not None
@@ -506,9 +508,9 @@
     fleet = Voters("abc")
     assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().stable_voters()))
     leader = fleet.leader()
-    assert fleet.run(300.0, lambda: leader.fresh(fleet.now, QUORUM_FRESH_MS))
+    assert fleet.run(300.0, lambda: leader.has_recent_quorum(fleet.now, QUORUM_FRESH_MS))
     coordinator = Coordinator(1200.0)
-    coordinator.majority_is_recent = lambda now: leader.fresh(now, QUORUM_FRESH_MS)
+    coordinator.majority_is_recent = lambda now: leader.has_recent_quorum(now, QUORUM_FRESH_MS)
     coordinator.become_leader(fleet.now, leader.term)
     coordinator.roster_changed(fleet.now, ["a", "b"])
     place = {"role": "store", "zone": "z", "node": "n"}
@@ -520,7 +522,7 @@
     fleet.deaf.add(leader.name)
     for _ in range(90):  # it hears nobody, and takes nobody for gone either
         fleet.run(10.0)
-        if leader.leads:
+        if leader.is_leader:
             fleet.do(leader.name, leader.tick(fleet.now))
         told = coordinator.tick(fleet.now)
         assert coordinator.view.number == number and not [one for one in told if isinstance(one, SendUpdate)]
@@ -531,7 +533,7 @@
     fleet = Voters("abc")
     assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().stable_voters()))
     fleet.run(300.0)
-    wiped, *rest = sorted(fleet.all, key=lambda name: not fleet.all[name].leads)
+    wiped, *rest = sorted(fleet.all, key=lambda name: not fleet.all[name].is_leader)
     fleet.words = []
     for name in rest:
         old = fleet.all[name]
@@ -545,21 +547,21 @@
 
 def shows_the_record_is_read_back_as_it_was_kept() -> None:
     folder = RecordStorage([])
-    found = dict(folder.begin(["a", "b"]))
+    found = dict(folder.initial_write(["a", "b"]))
 
     def keep(*deeds):
-        for key, value in folder.puts(deeds):
+        for key, value in folder.make_write(deeds):
             found.pop(key, None) if value is None else found.update({key: value})
 
     entries = [Entry(1, 1, "a", at, b"x") for at in range(4)]
     keep(HardState(1, "v"), *(AppendToLog(at, one) for at, one in enumerate(entries, 1)))
     keep(TruncateLog(2), AppendToLog(3, entries[3]))
-    held = RecordStorage(found.items()).held
+    held = RecordStorage(found.items()).stored_state
     assert (held.term, held.vote, held.first) == (1, "v", 1)
-    assert RecordStorage(found.items()).names == ("a", "b")
+    assert RecordStorage(found.items()).initial_voters == ("a", "b")
     assert held.entries == (entries[0], entries[1], entries[3])
     keep(ReplaceLog("id", HardState(2, ""), None, 3, 1, (entries[2],)))
-    held = RecordStorage(found.items()).held
+    held = RecordStorage(found.items()).stored_state
     assert (held.id, held.first, held.entries) == ("id", 3, (entries[2],))
 
 
--- a/tests/tenant_delivery.py
+++ b/tests/tenant_delivery.py
@@ -18,20 +18,20 @@
 from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.edge.gateway import Gateway
 from sableford.simulation.stores import DOC
-from sableford.store.choice import Choice, WorkerEntry
 from sableford.store.delivery import DeliveryClient, request_of
 from sableford.store.message_storage import Clocks, decode_message, encode_message
 from sableford.store.messages import AskFinalStates, CopyMessage, Deliver, Effect, Message, Pull
 from sableford.store.protocol import PutRequest
 from sableford.store.queue import Queue
+from sableford.store.worker_selection import WorkerEntry, WorkerSelector
 from sableford.transport.frames import FrameReader
-from sableford.transport.http import Answer, Bounds, Request
+from sableford.transport.http import ConnectionLimits, HttpRequest, HttpResponse
 from sableford.transport.http_server import HttpServer, ServerConnection
 from sableford.transport.link import CallResult
 from sableford.transport.messages import PeerMessage, PeerRequest
-from sableford.transport.routes import Table
+from sableford.transport.routes import RoutingTable
 from sableford.transport.verdict import Execution, Verdict
-from tests.edge_gateway import Owner, edge
+from tests.edge_gateway import ScriptedStore, make_edge
 from tests.memory_network import attached, simulated
 
 FIFO, PLAIN, PUBLIC = "/a/1", "/b/1", "/p/1"  # paths of the routes below
@@ -73,7 +73,7 @@
         return [status for status, _, _ in self.answers]
 
 
-class AcceptingStore(Owner):
+class AcceptingStore(ScriptedStore):
     """Accepts every put, and reports every message as pending."""
 
     def __init__(self, scene: Scene) -> None:
@@ -107,13 +107,13 @@
 
     async def run(loop: asyncio.AbstractEventLoop) -> Scene:
         scene = Scene()
-        gateway = edge({"s0": AcceptingStore(scene)})
+        gateway = make_edge({"s0": AcceptingStore(scene)})
         gateway.log = gateway.runtime.log = SimpleNamespace(
             event=lambda name, /, **fields: scene.log.append(f"{name} {fields!r}")
         )
         revisions = itertools.count(2)
         gateway.configuration_changed(ConfigurationVersion(next(revisions), document))
-        connection = ServerConnection(HttpServer(gateway.handle, Bounds()))
+        connection = ServerConnection(HttpServer(gateway.handle, ConnectionLimits()))
         transport = attached(connection)
         for request in requests:
             if isinstance(request, dict):
@@ -160,8 +160,10 @@
 
     def start(self, name: str) -> Queue:
         """Starts a store with an empty disk that counts as complete."""
-        queue = Queue(name, f"b{name}", 1, Table(2, WITH_TENANTS), Choice("z0", name), 600.0, True)
-        queue.choice.put(0.0, WORKER, 0.0)
+        queue = Queue(
+            name, f"b{name}", 1, RoutingTable(2, WITH_TENANTS), WorkerSelector("z0", name), 600.0, True
+        )
+        queue.selector.put(0.0, WORKER, 0.0)
         queue.state.lease = 1e9
         self.queues[name] = queue
         return queue
@@ -214,21 +216,23 @@
                 return queue.message_copied(now, effect.ref, effect.to, True)
         return effects
 
-    def requests(self, name: str, effects: Iterable[Effect]) -> list[Request]:
+    def requests(self, name: str, effects: Iterable[Effect]) -> list[HttpRequest]:
         """Returns the requests that workers receive."""
         return [self.delivered(name, one.ref) for one in effects if isinstance(one, Deliver)]
 
-    def delivered(self, name: str, ref: str) -> Request:
+    def delivered(self, name: str, ref: str) -> HttpRequest:
         held = self.queues[name].state.messages[ref]
         return self.read(request_of(held, self.bodies[ref], WORKER, 900.0))
 
-    def read(self, text: bytes) -> Request:
+    def read(self, text: bytes) -> HttpRequest:
         """Parses a request as a worker does: exactly one complete request."""
         self.output.append(text)
 
-        async def scene(loop: asyncio.AbstractEventLoop) -> list[Request]:
-            received: list[Request] = []
-            server = HttpServer(lambda request: received.append(request) or Answer(200), Bounds())
+        async def scene(loop: asyncio.AbstractEventLoop) -> list[HttpRequest]:
+            received: list[HttpRequest] = []
+            server = HttpServer(
+                lambda request: received.append(request) or HttpResponse(200), ConnectionLimits()
+            )
             connection = ServerConnection(server)
             transport = attached(connection)
             connection.data_received(text)
@@ -238,7 +242,7 @@
         (request,) = simulated(scene)
         return request
 
-    def attempts(self, name: str, now: float, effects: list[Effect], count: int = TRIES) -> list[Request]:
+    def attempts(self, name: str, now: float, effects: list[Effect], count: int = TRIES) -> list[HttpRequest]:
         """Returns the requests of a number of attempts of one message, each of which fails."""
         queue, received = self.queues[name], []
         while len(received) < count:
@@ -266,7 +270,7 @@
     return stores
 
 
-def tenants_in(requests: Iterable[Request]) -> list[list[str]]:
+def tenants_in(requests: Iterable[HttpRequest]) -> list[list[str]]:
     """Returns the values of the `Tenant` header of each request."""
     return [
         [value.decode("latin-1") for name, value in request.headers if name == b"tenant"]
@@ -314,7 +318,7 @@
 def shows_a_message_keeps_its_tenant_after_the_tenant_was_removed() -> None:
     stores = stores_owned_by_s0()
     effects = stores.accept(0.0, put_of(message(PLAIN, "k1-secret")))
-    stores.queues["s0"].configure(0.0, Table(3, WITH_TENANTS | {"tenants": TENANTS[1:]}))
+    stores.queues["s0"].configure(0.0, RoutingTable(3, WITH_TENANTS | {"tenants": TENANTS[1:]}))
     assert tenants_in(stores.attempts("s0", 0.0, effects)) == [["t1"]] * TRIES
 
 
@@ -513,11 +517,11 @@
 def shows_a_leaked_key_and_a_changed_request_are_detected() -> None:
     original = Gateway._put_request
 
-    def leaks(gateway: Gateway, request: Request, *given: object) -> PutRequest:
+    def leaks(gateway: Gateway, request: HttpRequest, *given: object) -> PutRequest:
         put = original(gateway, request, *given)
         return replace(put, content_type=request.get(b"authorization") or "")
 
-    def unquotes(gateway: Gateway, request: Request, *given: object) -> PutRequest:
+    def unquotes(gateway: Gateway, request: HttpRequest, *given: object) -> PutRequest:
         put = original(gateway, request, *given)
         return replace(put, target=put.target.replace("%26", "&"))
 
@@ -585,12 +589,12 @@
             head = b"HTTP/1.1 200 OK\r\nAttempt-Id: i1\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n"
             self.transport.write(head)
 
-    def at(address: str) -> tuple[Choice, WorkerEntry]:
+    def at(address: str) -> tuple[WorkerSelector, WorkerEntry]:
         backend = {"name": "a", "endpoint": address}
-        choice.fix(0.0, Table(1, WITHOUT_TENANTS | {"backends": [backend]}))
-        return choice, choice.workers["@a"].entry
+        selector.set_fixed_endpoints(0.0, RoutingTable(1, WITHOUT_TENANTS | {"backends": [backend]}))
+        return selector, selector.workers["@a"].entry
 
-    choice = Choice("z0", "s0")
+    selector = WorkerSelector("z0", "s0")
     stores = stores_owned_by_s0()
     edge_put = send_to_edge([http_request(PLAIN, "Attempt-Id: i1")], WITHOUT_TENANTS).puts[0]
     stores.accept(0.0, edge_put)
@@ -605,7 +609,7 @@
             _, entry = at(address)
             verdict = await client.deliver(held, b"x", entry, 1000.0)
             assert verdict.execution is Execution.DONE, verdict
-            client.sweep(set(choice.workers))
+            client.sweep(set(selector.workers))
         return before, after
 
     before, after = simulated(scene)
