--- a/sableford/control/http_api.py
+++ b/sableford/control/http_api.py
@@ -59,7 +59,7 @@
 
     def carry_out(self, effects: Iterable[Effect]) -> None: ...
 
-    async def majority(self, timeout_ms: float) -> bool: ...
+    async def confirm_majority(self, timeout_ms: float) -> bool: ...
 
     async def propose(self, state: orders.State, timeout_ms: float) -> ProposalOutcome: ...
 
@@ -69,7 +69,7 @@
 
     async def configuration_applied(self) -> bool: ...
 
-    async def confirms_roster(self) -> bool: ...
+    async def confirm_state(self) -> bool: ...
 
     async def retire(self, node: str) -> Outcome: ...
 
@@ -162,7 +162,7 @@
         control = self._control
         if not await control.applied(update_number, STORES, after_old_leases=True):
             return False
-        return await control.majority(CALLER_TIMEOUT_MS - APPLY_WAIT_MS) and control.leads
+        return await control.confirm_majority(CALLER_TIMEOUT_MS - APPLY_WAIT_MS) and control.leads
 
     # The configuration
 
@@ -189,7 +189,7 @@
         match effect:
             case AskMajority():
                 timeout_ms = min(remaining_ms, MAJORITY_TIMEOUT_MS)
-                confirmed = timeout_ms > 0 and await control.majority(timeout_ms) and control.leads
+                confirmed = timeout_ms > 0 and await control.confirm_majority(timeout_ms) and control.leads
                 return process.majority_answered(control.state if confirmed else None)
             case Propose(state):
                 outcome = await control.propose(state, remaining_ms)
@@ -201,7 +201,7 @@
         raise AssertionError(effect)
 
     async def _read_configuration(self, request: HttpRequest) -> HttpResponse:
-        if not await self._control.majority(MAJORITY_TIMEOUT_MS):
+        if not await self._control.confirm_majority(MAJORITY_TIMEOUT_MS):
             return refusal(503, order_process.NO_MAJORITY)
         if self._control.state.doc is None:
             return refusal(404, "there is no configuration yet")
@@ -212,7 +212,7 @@
     async def _retire(self, request: HttpRequest, node: str) -> HttpResponse:
         control = self._control
         requests.retirement(request.body)
-        if not await control.confirms_roster() or not control.leads:
+        if not await control.confirm_state() or not control.leads:
             return refusal(503, "the core does not agree now")
         try:
             outcome = await control.retire(node)
@@ -227,7 +227,7 @@
         return HttpResponse(200, self._phase(node))
 
     async def _read_retirement(self, request: HttpRequest, node: str) -> HttpResponse:
-        if not await self._control.confirms_roster():
+        if not await self._control.confirm_state():
             return refusal(503, "the core does not agree now")
         if self._control.retirement_phase(node) is None:
             return refusal(404, "not being emptied")
--- a/sableford/control/service.py
+++ b/sableford/control/service.py
@@ -238,7 +238,7 @@
 
     def _majority_is_recent(self, now: float) -> bool:
         record = self.driver.record
-        return record is not None and record.fresh(now, QUORUM_FRESH_MS)
+        return record is not None and record.has_recent_quorum(now, QUORUM_FRESH_MS)
 
     def _update_leadership(self) -> None:
         """Begins or ends this process's leadership, following the record."""
@@ -254,7 +254,7 @@
                 self._duty_manager.become_leader()
             self.carry_out(self.coordinator.become_leader(now, record.term, record.earlier_leader_until))
             self._roster_changed()
-        elif self._is_leader and not record.leads:
+        elif self._is_leader and not record.is_leader:
             self.end_leadership()
 
     def end_leadership(self) -> None:
@@ -273,14 +273,14 @@
         """This process has joined a leader, which names the voters."""
         voters, record = response.voters, self.record
         if voters is not None and self.me in record.voters() and voters.get(self.me) != record.id:
-            self.driver.carry_out(record.outvoted(self.now()))
+            self.driver.carry_out(record.handle_voted_out(self.now()))
 
     def _link_up(self, name: str, link: Link) -> None:
         self.driver.link_up()
 
     def _process_ended(self, name: str) -> None:
         if self.driver.record is not None:
-            self.driver.record.over(self.now(), name)
+            self.driver.record.handle_process_ended(self.now(), name)
             self.carry_out(self.coordinator.process_ended(self.now(), name))
 
     # State in force
@@ -330,7 +330,7 @@
         store = self._host.member.view.live_stores.get(leader)
         return store.control if store is not None else ""
 
-    async def majority(self, timeout_ms: float) -> bool:
+    async def confirm_majority(self, timeout_ms: float) -> bool:
         """Asks a majority whether this process is up to date. If so, it knows everything that was committed
         before the call."""
         result = await self.driver.propose(None, timeout_ms)
@@ -353,7 +353,7 @@
         whether they have."""
         return self.leads and await self.applied(self.coordinator.update_number, ALL_ROLES)
 
-    async def confirms_roster(self) -> bool:
+    async def confirm_state(self) -> bool:
         """Whether a majority confirms the current state within a proposal's time-out."""
         result = await self.driver.propose(None)
         return result is not None and result.accepted
--- a/sableford/simulation/stores/model.py
+++ b/sableford/simulation/stores/model.py
@@ -2,8 +2,8 @@
 
 from typing import Any, NamedTuple
 
-from sableford.store.choice import Choice
 from sableford.store.queue import Queue
+from sableford.store.worker_selection import WorkerSelector
 
 MACHINE_LOSS = 1  # stores that may be lost at once
 
@@ -80,7 +80,7 @@
         self.full = 0.0  # until then its disk takes nothing
         self.incarnation = ""
         self.queue: Queue | None = None
-        self.choice: Choice | None = None
+        self.choice: WorkerSelector | None = None
         self.view_number, self.term, self.joined, self.leaving = 0, 0, False, False
         self.granted = 0.0  # until when the leader counts it as a member
         self.has_lapsed = True  # its lease ran out before the last join
--- a/tests/control_member.py
+++ b/tests/control_member.py
@@ -13,7 +13,7 @@
 ME, LEADER = "10.0.0.1", "10.0.0.2"
 
 
-class Silence:
+class NullLog:
     """A log that drops all events."""
 
     def event(self, name, /, **fields): ...
@@ -65,35 +65,35 @@
     return View((term, count), [owner] * SHARDS, [f"{owner}.1"] * SHARDS)
 
 
-class Scene:
+class MemberScene:
     """One member on a clock that the test advances."""
 
     def __init__(self) -> None:
         self.clock = 1000.0
         self.link = LeaderLink(term=3)
         self.pool = LeaderPool(self.link)
-        self.member = MemberClient(self.pool, ME, lambda: STATUS, lambda: [LEADER], Silence())
+        self.member = MemberClient(self.pool, ME, lambda: STATUS, lambda: [LEADER], NullLog())
         self.member.now = lambda: self.clock
 
     async def join(self, term: int = 3) -> None:
         self.pool.link = self.link = LeaderLink(term)
         await self.member.find_leader()
 
-    def hear(self, term: int, number: int, shown: View | None) -> None:
+    def receive_view(self, term: int, number: int, shown: View | None) -> None:
         update = Update(term=term, number=number, snapshot=True, view=shown)
         self.member.apply_update(self.link, update)
 
 
 def shows_a_member_that_was_cut_off_acts_on_no_old_view_when_it_joins_again() -> None:
     async def play() -> None:
-        scene = Scene()
+        scene = MemberScene()
         await scene.join()
-        scene.hear(3, 1, view(1, ME))
+        scene.receive_view(3, 1, view(1, ME))
         assert scene.member.holds_lease()
         scene.clock += 20_000.0  # partitioned; its shards have another owner by now
         await scene.join()
         assert not scene.member.holds_lease(), "its lease is in force under its old view"
-        scene.hear(3, 9, view(2, LEADER))
+        scene.receive_view(3, 9, view(2, LEADER))
         assert scene.member.holds_lease() and scene.member.view.number == (3, 2)
 
     asyncio.run(play())
@@ -101,14 +101,14 @@
 
 def shows_a_leader_that_has_no_view_yet_puts_no_lapsed_lease_in_force() -> None:
     async def play() -> None:
-        scene = Scene()
+        scene = MemberScene()
         await scene.join()
-        scene.hear(3, 1, view(1, ME))
+        scene.receive_view(3, 1, view(1, ME))
         scene.clock += 20_000.0
         await scene.join(term=5)  # newly elected: it collects the members' views before it sends one
-        scene.hear(5, 0, None)
+        scene.receive_view(5, 0, None)
         assert not scene.member.holds_lease()
-        scene.hear(5, 1, view(1, LEADER, term=5))
+        scene.receive_view(5, 1, view(1, LEADER, term=5))
         assert scene.member.holds_lease()
 
     asyncio.run(play())
@@ -116,12 +116,12 @@
 
 def shows_a_view_of_the_leader_before_puts_no_lease_of_the_next_one_in_force() -> None:
     async def play() -> None:
-        scene = Scene()
+        scene = MemberScene()
         await scene.join()
-        scene.hear(3, 1, view(1, ME))
+        scene.receive_view(3, 1, view(1, ME))
         scene.clock += 20_000.0
         await scene.join(term=5)
-        scene.hear(3, 2, view(2, ME))  # delayed
+        scene.receive_view(3, 2, view(2, ME))  # delayed
         assert not scene.member.holds_lease()
 
     asyncio.run(play())
@@ -129,9 +129,9 @@
 
 def shows_a_lease_that_never_ran_out_goes_on_through_a_change_of_leader() -> None:
     async def play() -> None:
-        scene = Scene()
+        scene = MemberScene()
         await scene.join()
-        scene.hear(3, 1, view(1, ME))
+        scene.receive_view(3, 1, view(1, ME))
         scene.clock += LEASE_MS / 2
         await scene.join(term=4)  # its shards can't have been assigned to others, so it need not stop
         scene.clock += LEASE_MS * 0.75
--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -21,7 +21,7 @@
 from sableford.simulation.membership.model import SimulatedStore
 from sableford.simulation.membership.walk import MembershipSimulation, Wrong
 from sableford.transport.http import HttpRequest, HttpResponse
-from tests.control_service import core, joins, run_core
+from tests.control_service import join_member, run_until, start_control
 from tests.record_growth import Group
 
 S, U, A, L, R, G = (
@@ -249,24 +249,24 @@
 
 
 async def joined(control: ControlService, clock: list[float], names: list[str]) -> None:
-    assert await run_core(control, clock, lambda: control.leads)
+    assert await run_until(control, clock, lambda: control.leads)
     for name in names:
-        joins(control, name, node=f"node-{name}")
-    assert await run_core(control, clock, lambda: list(control.roster.stores) == names, 500.0)
-    assert await run_core(
+        join_member(control, name, node=f"node-{name}")
+    assert await run_until(control, clock, lambda: list(control.roster.stores) == names, 500.0)
+    assert await run_until(
         control, clock, lambda: set(control.coordinator.view.live_stores) == {*names}, 500.0
     )
 
 
 def shows_of_two_retirements_at_once_the_second_counts_the_first_as_gone() -> None:
     async def scene() -> list[HttpResponse]:
-        control, clock = core(1)
+        control, clock = start_control(1)
         await joined(control, clock, ["s00", "s01", "s02", "s03"])
         requests = [
             HttpRequest("POST", b"/v1/retire/node-s0%d/start" % at, [], b"", True) for at in (1, 2, 1)
         ]
         calls = [asyncio.ensure_future(control.handle(request)) for request in requests]
-        assert await run_core(control, clock, lambda: all(call.done() for call in calls), 500.0)
+        assert await run_until(control, clock, lambda: all(call.done() for call in calls), 500.0)
         assert list(control.roster.retiring) == ["node-s01"]
         return [call.result() for call in calls]
 
@@ -276,11 +276,11 @@
 
 def shows_a_process_that_does_not_lead_wants_no_other_voters() -> None:
     async def scene() -> None:
-        control, clock = core()
-        assert await run_core(control, clock, lambda: control.leads)
-        control.record.wanted = ("s09",)  # from an earlier term as leader
+        control, clock = start_control()
+        assert await run_until(control, clock, lambda: control.leads)
+        control.record.wanted_voters = ("s09",)  # from an earlier term as leader
         control._voter_manager.update(clock[0], leads=False)
-        assert control.record.wanted == ("s00",)
+        assert control.record.wanted_voters == ("s00",)
 
     asyncio.run(scene())
 
@@ -501,10 +501,10 @@
 
 def shows_a_voter_that_is_emptied_where_fewer_are_enough_votes_no_more() -> None:
     group = Group("abc")
-    leader = group.led()
+    leader = group.wait_for_leader()
     stay = sorted(name for name in "abc" if name != leader.name)[:1] + [leader.name]
-    group.want(stay)  # no loss has to be tolerated: two of three voters are left, and none is added
-    assert group.run(3000.0, lambda: sorted(group.led().stable_voters() or {}) == sorted(stay))
+    group.set_wanted_voters(stay)  # no loss has to be tolerated: two of three voters are left, none is added
+    assert group.run(3000.0, lambda: sorted(group.wait_for_leader().stable_voters() or {}) == sorted(stay))
 
 
 def shows_voters_bear_the_loss_of_a_zone_again_after_one_was_lost() -> None:
--- a/tests/control_orders.py
+++ b/tests/control_orders.py
@@ -15,7 +15,7 @@
 from sableford.control.record_driver import MAX_VALUE_BYTES
 from sableford.control.requests import ConfigurationOrder, OrderKind
 from sableford.control.timing import APPLY_WAIT_MS
-from tests.control_service import call, core, joins, run_core, wins_again
+from tests.control_service import call, join_member, reelect, run_until, start_control
 
 STEPS = settings(
     max_examples=20,
@@ -168,8 +168,8 @@
 
 def shows_an_order_sent_again_after_three_hundred_others_is_acknowledged_again() -> None:
     async def scene() -> None:
-        control, clock = core()
-        assert await run_core(control, clock, lambda: control.leads)
+        control, clock = start_control()
+        assert await run_until(control, clock, lambda: control.leads)
         control.unix_ms = lambda: 0.0
         for revision in range(1, 301):
             assert await _replace(control, clock, revision - 1, config(revision)) == 200
@@ -191,15 +191,15 @@
 
 def shows_an_order_sent_again_waits_for_members_like_the_first_one() -> None:
     async def scene() -> None:
-        control, clock = core()
-        assert await run_core(control, clock, lambda: control.leads)
+        control, clock = start_control()
+        assert await run_until(control, clock, lambda: control.leads)
         assert await _replace(control, clock, 0, config(1)) == 200
-        assert await wins_again(control, clock)
-        joins(control, "e01", role="edge")
+        assert await reelect(control, clock)
+        join_member(control, "e01", role="edge")
         started = clock[0]
         assert await _replace(control, clock, 0, config(1)) == 200
         assert clock[0] - started >= APPLY_WAIT_MS, "the edge has not applied its snapshot"
-        joins(control, "e01", prompt=True, role="edge")
+        join_member(control, "e01", prompt=True, role="edge")
         started = clock[0]
         assert await _replace(control, clock, 0, config(1)) == 200
         assert clock[0] - started < APPLY_WAIT_MS
@@ -209,8 +209,8 @@
 
 def shows_a_configuration_that_no_value_may_hold_is_refused_for_its_size() -> None:
     async def scene() -> None:
-        control, clock = core()
-        assert await run_core(control, clock, lambda: control.leads)
+        control, clock = start_control()
+        assert await run_until(control, clock, lambda: control.leads)
         assert await _replace(control, clock, 0, config(1) | {"notes": "x" * (MAX_VALUE_BYTES + 1000)}) == 413
         assert await _replace(control, clock, 0, config(1)) == 200 and control.state.revision == 1
 
@@ -235,8 +235,8 @@
     }
 
     async def scene() -> None:
-        control, clock = core()
-        assert await run_core(control, clock, lambda: control.leads)
+        control, clock = start_control()
+        assert await run_until(control, clock, lambda: control.leads)
         for base in ODD_BASES:
             got = await call(control, clock, "POST", "/v1/config/replace", config(1), base_version=base)
             assert (got.status, b"Base-Version" in got.body) == (400, True), (base, got)
--- a/tests/control_service.py
+++ b/tests/control_service.py
@@ -57,7 +57,7 @@
     def call_later(self, delay_s: float, *what: object) -> None: ...
 
 
-def core(losses: int = 0, settings: Settings | None = None) -> tuple[ControlService, list[float]]:
+def start_control(losses: int = 0, settings: Settings | None = None) -> tuple[ControlService, list[float]]:
     """The control service of one process that is the only voter, and its simulated clock."""
     runtime = SimpleNamespace(
         me="s00",
@@ -81,7 +81,7 @@
     return control, clock
 
 
-async def run_core(
+async def run_until(
     control: ControlService, clock: list[float], until: Callable[[], bool], ms: float = 20_000.0
 ) -> bool:
     end = clock[0] + ms
@@ -103,11 +103,11 @@
     if isinstance(answer, HttpResponse):
         return answer
     task = asyncio.ensure_future(answer)
-    assert await run_core(control, clock, task.done)
+    assert await run_until(control, clock, task.done)
     return task.result()
 
 
-def joins(control: ControlService, name: str, prompt: bool = False, **status: object) -> Peer:
+def join_member(control: ControlService, name: str, prompt: bool = False, **status: object) -> Peer:
     """A process joins; with `prompt` it applies updates at once."""
     peer = Peer(name, control if prompt else None)
     defaults = {"role": "store", "zone": "z", "node": name, "view": View()}
@@ -116,21 +116,21 @@
     return peer
 
 
-async def wins_again(control: ControlService, clock: list[float]) -> bool:
+async def reelect(control: ControlService, clock: list[float]) -> bool:
     """It is elected again: members have to join again, and may hold leases granted until now."""
     control.record.earlier_leader_until = clock[0]
     control.end_leadership()
-    return await run_core(control, clock, lambda: control.leads)
+    return await run_until(control, clock, lambda: control.leads)
 
 
 def shows_stores_that_join_together_enter_the_roster_with_few_entries() -> None:
     async def scene() -> int:
-        control, clock = core()
-        assert await run_core(control, clock, lambda: control.leads)
+        control, clock = start_control()
+        assert await run_until(control, clock, lambda: control.leads)
         names = [f"s{at:02d}" for at in range(19)]
         for name in names:
-            joins(control, name)
-        assert await run_core(control, clock, lambda: list(control.roster.stores) == names)
+            join_member(control, name)
+        assert await run_until(control, clock, lambda: list(control.roster.stores) == names)
         return control.record.state_machine.last
 
     entries = asyncio.run(scene())
--- a/tests/control_serving.py
+++ b/tests/control_serving.py
@@ -11,15 +11,15 @@
 from sableford.transport.http import HttpRequest
 from sableford.transport.link import Response
 from sableford.transport.messages import PeerRequest
-from tests.control_member import STATUS, Silence
-from tests.control_service import call, core
-from tests.edge_gateway import ScriptedStore, asked, edge
+from tests.control_member import STATUS, NullLog
+from tests.control_service import call, start_control
+from tests.edge_gateway import ScriptedStore, make_edge, send
 from tests.memory_network import simulated
 
 
 def shows_an_edge_without_a_leader_ends_serving_while_no_newer_version_binds_it() -> None:
     async def scene(apply_ms: float) -> None:
-        gate = edge({"s0": ScriptedStore()})
+        gate = make_edge({"s0": ScriptedStore()})
         gate.runtime.settings.rule_bounds.apply_ms = apply_ms
         gate.runtime.ending = asyncio.Event()
         gate.member.configuration_lease = LEASE_MS  # granted in answer to a renewal sent at 0
@@ -27,9 +27,9 @@
         # at once.
         end = apply_ms - QUORUM_FRESH_MS
         gate.runtime.now = lambda: end - 1.0
-        assert gate.is_ready() and asked(gate, "/none/").status == 404
+        assert gate.is_ready() and send(gate, "/none/").status == 404
         gate.runtime.now = lambda: end + 1.0
-        answer = asked(gate, "/none/")
+        answer = send(gate, "/none/")
         assert not gate.is_ready() and answer.status == 503 and dict(answer.headers)["Retry-After"]
 
     for apply_ms in (3000.0, 1500.0, 900.0):
@@ -38,7 +38,7 @@
 
 def shows_a_store_redirects_to_no_leader_that_has_not_responded_recently() -> None:
     async def scene() -> None:
-        control, clock = core()
+        control, clock = start_control()
         control._host.member.leader = "s01"
         control._host.member.view.live_stores["s01"] = StoreInfo("b", "z", control="10.0.0.1:80")
         answer = await call(control, clock, "GET", "/v1/config/read")
@@ -83,7 +83,7 @@
 def shows_two_members_that_name_each_other_as_leader_are_not_asked_endlessly() -> None:
     async def scene() -> int:
         pool = ReferringPool()
-        member = MemberClient(pool, "me", lambda: STATUS, lambda: ["a"], Silence())
+        member = MemberClient(pool, "me", lambda: STATUS, lambda: ["a"], NullLog())
         finding = asyncio.create_task(member.find_leader())
         await asyncio.sleep(1.0)
         finding.cancel()
--- a/tests/control_workers.py
+++ b/tests/control_workers.py
@@ -10,8 +10,8 @@
 from sableford.control.view import View
 from sableford.control.workers import DRAINING, READY, Departure, Worker, WorkerTable
 from sableford.transport.link import IncomingMessage
-from tests.control_member import Scene
-from tests.control_service import Peer, call, core, joins, run_core, wins_again
+from tests.control_member import MemberScene
+from tests.control_service import Peer, call, join_member, reelect, run_until, start_control
 
 HEARTBEAT = {
     "backend": "b",
@@ -55,10 +55,10 @@
 
 def shows_draining_sent_again_is_acknowledged_only_once_all_stores_know() -> None:
     async def scene(last_call) -> None:
-        control, clock = core()
-        assert await run_core(control, clock, lambda: control.leads)
-        quick, silent = (joins(control, name) for name in ("s00", "s01"))
-        assert await run_core(control, clock, lambda: len(control.roster.stores) == 2)
+        control, clock = start_control()
+        assert await run_until(control, clock, lambda: control.leads)
+        quick, silent = (join_member(control, name) for name in ("s00", "s01"))
+        assert await run_until(control, clock, lambda: len(control.roster.stores) == 2)
         assert await send_heartbeat(control, clock, READY, 1) == 200
         for why in ("", "the update of the first call is still on its way"):
             apply_all(control, quick)
@@ -75,16 +75,16 @@
 
 def shows_a_leader_that_has_just_won_waits_for_stores_that_may_hold_an_old_lease() -> None:
     async def scene() -> None:
-        control, clock = core()
-        assert await run_core(control, clock, lambda: control.leads)
-        joins(control, "s00"), joins(control, "s01")
-        assert await run_core(control, clock, lambda: len(control.roster.stores) == 2)
-        assert await wins_again(control, clock)
-        joins(control, "s00", prompt=True)
+        control, clock = start_control()
+        assert await run_until(control, clock, lambda: control.leads)
+        join_member(control, "s00"), join_member(control, "s01")
+        assert await run_until(control, clock, lambda: len(control.roster.stores) == 2)
+        assert await reelect(control, clock)
+        join_member(control, "s00", prompt=True)
         assert (
             await send_heartbeat(control, clock, DRAINING, 1) == 503
         ), "s01 may still act under its old lease"
-        joins(control, "s01", prompt=True)
+        join_member(control, "s01", prompt=True)
         assert await send_heartbeat(control, clock, DRAINING, 1) == 200
 
     asyncio.run(scene())
@@ -110,7 +110,7 @@
 
 def shows_a_store_does_not_forget_that_a_worker_drains_or_left() -> None:
     async def scene() -> None:
-        scene = Scene()
+        scene = MemberScene()
         member: MemberClient = scene.member
         await scene.join(term=3)
         workers = [entry(3), entry(7, id="v"), entry(1, id="u")]
--- a/tests/duties.py
+++ b/tests/duties.py
@@ -22,7 +22,7 @@
 from sableford.duties.usage_counts import REPORT_INTERVAL_MS, SETTLE_MS, UsageCounts, UsageStatus
 from sableford.duties.usage_ledger import UsageLedger
 from sableford.transport.link import IncomingMessage
-from tests.control_service import Peer, core, joins, run_core
+from tests.control_service import Peer, join_member, run_until, start_control
 
 DUTY = "usage_report"
 ORDER = ranked(DUTY, "abcd")
@@ -382,15 +382,15 @@
             seed_nodes=["s00:7300"],
             cloud_api=CloudApi("10.0.0.9:80", [USAGE_REPORT]),
         )
-        self.control, self.clock = core(settings=made)
+        self.control, self.clock = start_control(settings=made)
         self.control.unix_ms = lambda: 1_000_000.0 + self.clock[0]
         self.peers: dict[str, Peer] = {}
 
     async def run(self, until: Callable[[], bool]) -> None:
-        assert await run_core(self.control, self.clock, until)
+        assert await run_until(self.control, self.clock, until)
 
     def join(self, name: str, **said: object) -> None:
-        self.peers[name] = joins(self.control, name, **said)
+        self.peers[name] = join_member(self.control, name, **said)
 
     def renew(self, name: str, **said: object) -> None:
         peer = self.peers[name]
--- a/tests/leader_startup.py
+++ b/tests/leader_startup.py
@@ -12,7 +12,7 @@
 from sableford.simulation.stores import Simulation, Wrong
 from sableford.store.messages import replica_of
 from sableford.store.queue import Queue
-from tests.store_fences import with_a_message_out
+from tests.store_fences import queue_with_delivery_in_flight
 
 ROSTER = ["a", "b", "c"]
 LEASE_LEFT_MS = 700.0
@@ -163,7 +163,7 @@
 
 
 def shows_a_replica_accepted_under_a_later_owner_is_not_dropped_for_an_earlier_one() -> None:
-    queue: Queue = with_a_message_out()
+    queue: Queue = queue_with_delivery_in_flight()
     message = queue.state.messages["00-a"]
     later = message.copy_request(0.0, (2, 5))
     later = msgspec.structs.replace(later, ref="01-z", shard=1, position=((2, 5), 1))
