--- a/sableford/control/roster_manager.py
+++ b/sableford/control/roster_manager.py
@@ -125,7 +125,7 @@
         """Whether it is a voter, is to become one, or that is not known."""
         voters = self._driver.stable_voters()
         record = self._driver.record
-        return voters is None or record is None or name in {*voters, *record.wanted}
+        return voters is None or record is None or name in {*voters, *record.wanted_voters}
 
     def _may_complete(self, roster: Roster, name: str) -> bool:
         return may_complete(roster, name, self._voters.candidates(self._now()), self._tolerance)
--- a/sableford/simulation/stores/store_lives.py
+++ b/sableford/simulation/stores/store_lives.py
@@ -3,9 +3,9 @@
 from sableford.control.view import View
 from sableford.simulation.stores.model import MACHINE_LOSS
 from sableford.simulation.stores.network import Network
-from sableford.store.choice import Choice
-from sableford.store.departure import may_end
 from sableford.store.messages import Message
+from sableford.store.shutdown import may_exit
+from sableford.store.worker_selection import WorkerSelector
 from sableford.transport.routes import RoutingTable
 
 
@@ -16,7 +16,7 @@
         self.dark.discard(name)
         store.incarnation, store.up_at = f"{name}.{next(self._count)}", self.now
         store.granted, store.has_lapsed, store.has_current_view = 0.0, True, False
-        store.choice = Choice(store.zone, store.incarnation)
+        store.choice = WorkerSelector(store.zone, store.incarnation)
         whole, store.empty = store.mark == "whole" or (bootstrap and not store.mark), not store.kept
         store.mark = "whole" if whole else "lost"
         queue = store.queue = self._make(
@@ -67,5 +67,5 @@
             self.act(store, store.queue.tick(self.now, self.now))
             if self.draw.random() < 0.03:
                 self.act(store, store.queue.repair(self.now))
-            if store.leaving and may_end(store.queue):
+            if store.leaving and may_exit(store.queue):
                 self._killed(name, incarnation)
--- a/sableford/store/peer_requests.py
+++ b/sableford/store/peer_requests.py
@@ -1,13 +1,12 @@
-"""What other processes ask of a store: one handler for each type of message.
+"""Handles the requests of other processes: one handler for each type of message.
 
-It owns nothing: each request ends in a call of the queue, the storage or the choice of workers.
+It holds no state: each request is passed to the queue, the storage or the worker selection.
 """
 
 from collections.abc import Callable, Coroutine
 from typing import Any
 
 from sableford.control.view import shard_of_ref
-from sableford.store.choice import Choice
 from sableford.store.effect_executor import EffectExecutor
 from sableford.store.message_storage import BodyReader, Clocks, MessageStorage
 from sableford.store.protocol import (
@@ -21,7 +20,7 @@
     FinalStatesRequest,
     FinalStatesResponse,
     InFlightCounts,
-    InFlightCountsWanted,
+    InFlightCountsQuery,
     KeepFinalStateRequest,
     KeepFinalStatesRequest,
     ListFinalStatesRequest,
@@ -35,13 +34,14 @@
     StatusResponse,
 )
 from sableford.store.queue import Queue
+from sableford.store.worker_selection import WorkerSelector
 from sableford.transport.link import IncomingMessage
 from sableford.transport.peer_server import PeerServer
 from sableford.transport.verdict import Execution, Verdict
 
 
 class PeerRequests:
-    """`spawn` runs a task of the store's own."""
+    """Request handlers. `spawn` starts a background task."""
 
     def __init__(
         self,
@@ -49,16 +49,16 @@
         executor: EffectExecutor,
         storage: MessageStorage,
         bodies: BodyReader,
-        choice: Choice,
+        selector: WorkerSelector,
         now: Callable[[], float],
         spawn: Callable[[Coroutine[Any, Any, None]], object],
     ) -> None:
-        self._queue, self._executor, self._choice = queue, executor, choice
+        self._queue, self._executor, self._selector = queue, executor, selector
         self._storage, self._bodies = storage, bodies
         self._now, self._spawn = now, spawn
 
     def register(self, server: PeerServer) -> None:
-        """From now on they are answered here."""
+        """Registers all handlers with the server."""
         server.handle(PutRequest, self._put)
         server.handle(CopyRequest, self._copy)
         server.handle(PulledMessage, self._pulled_message)
@@ -71,7 +71,7 @@
         server.handle(LookupRequest, self._lookup)
         server.handle(DeliveryResultRequest, self._delivery_result)
         server.handle(InFlightCounts, self._in_flight_counts)
-        server.handle(InFlightCountsWanted, self._in_flight_counts_wanted)
+        server.handle(InFlightCountsQuery, self._in_flight_counts_query)
         server.handle(StatusRequest, self._status)
         server.handle(BodyRequest, lambda incoming: self._spawn(self._body(incoming)))
 
@@ -124,11 +124,11 @@
     def _keep_final_states(self, incoming: IncomingMessage[KeepFinalStatesRequest]) -> None:
         unsynced = self._queue.state.unsynced_final_states
         known = self._queue.state.final_states.keys() - unsynced
-        given = incoming.message.final_states
-        self._keep(incoming, {ref: one for ref, one in given.items() if ref not in known})
+        received = incoming.message.final_states
+        self._keep(incoming, {ref: one for ref, one in received.items() if ref not in known})
 
     def _keep(self, incoming: IncomingMessage[Any], final_states: dict[str, FinalState]) -> None:
-        """Confirmed once they are on disk."""
+        """Writes final states, and confirms them once they are on disk."""
         if not final_states:
             incoming.respond(Confirmation(True))
             return
@@ -163,7 +163,7 @@
     # Deliveries
 
     def _delivery_result(self, incoming: IncomingMessage[DeliveryResultRequest]) -> None:
-        """A store that does not know yet that it owns the shard is told again."""
+        """Confirms a result only if this store knows that it owns the shard; else it is reported again."""
         request = incoming.message
         verdict = Verdict(Execution(request.execution), request.why, request.seal, request.reached)
         accepts = self._queue.accepts_results(request.shard)
@@ -174,13 +174,13 @@
         incoming.respond(Confirmation(accepts))
 
     def _in_flight_counts(self, incoming: IncomingMessage[InFlightCounts]) -> None:
-        self._choice.told(self._now(), incoming.sender, incoming.message.counts)
+        self._selector.update_reported_counts(self._now(), incoming.sender, incoming.message.counts)
 
-    def _in_flight_counts_wanted(self, incoming: IncomingMessage[InFlightCountsWanted]) -> None:
-        counts = self._choice.own_counts(set(incoming.message.ids))
+    def _in_flight_counts_query(self, incoming: IncomingMessage[InFlightCountsQuery]) -> None:
+        counts = self._selector.own_counts(set(incoming.message.ids))
         incoming.link.send(InFlightCounts(counts))
 
-    # What edges ask
+    # Requests of edges
 
     def _status(self, incoming: IncomingMessage[StatusRequest]) -> None:
         ref = incoming.message.ref
--- a/tests/moved_endpoints.py
+++ b/tests/moved_endpoints.py
@@ -3,8 +3,8 @@
 import asyncio
 from types import SimpleNamespace
 
-from sableford.store.choice import Choice
 from sableford.store.delivery import DeliveryClient
+from sableford.store.worker_selection import WorkerSelector
 from sableford.transport.http import ConnectionLimits, HttpRequest, HttpResponse
 from sableford.transport.http_server import HttpServer, ServerConnection
 from sableford.transport.routes import RoutingTable
@@ -32,7 +32,7 @@
 
         async def deliver(endpoint: tuple[str, int]) -> None:
             backend = {"name": "x", "maxConns": 2, "endpoint": f"{endpoint[0]}:{endpoint[1]}"}
-            choice.fix(loop.time() * 1000.0, RoutingTable(1, {"backends": [backend]}))
+            choice.set_fixed_endpoints(loop.time() * 1000.0, RoutingTable(1, {"backends": [backend]}))
             client.sweep(set(choice.workers))
             worker = choice.choose(loop.time() * 1000.0, "x")
             until = loop.time() * 1000.0 + DELIVERY_MS
@@ -42,7 +42,7 @@
 
         served_at(OLD)
         served_at(NEW)
-        choice, client = Choice("z", "s"), DeliveryClient()
+        choice, client = WorkerSelector("z", "s"), DeliveryClient()
         for endpoint in (OLD, OLD, NEW):
             await deliver(endpoint)
         assert ran == [OLD, OLD, NEW], ran
--- a/tests/tenant_configuration.py
+++ b/tests/tenant_configuration.py
@@ -1,7 +1,7 @@
-"""Tenants and their keys in the configuration: what may stand there, and from when on a change is in force.
+"""Tenants and their API keys in the configuration: validation, and when a change comes into force.
 
-An edge is driven by itself, on a connection that stays open; whether a configuration is taken is decided
-without a network. Design: docs/tenants.md.
+The tests drive a single edge over a connection that stays open; configurations are validated without a
+network. Design: docs/tenants.md.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from sableford.control.view import message_ref
 from sableford.edge.gateway import Gateway
 from sableford.transport.http_server import ServerConnection
-from tests.edge_gateway import NOTHING, ScriptedStore, edge
+from tests.edge_gateway import NOTHING, ScriptedStore, make_edge
 from tests.memory_network import MemoryTransport, attached, simulated
 
 KEY, LATER_KEY, OTHER_KEY = "key-of-a", "later-key-of-a", "key-of-b"
@@ -35,7 +35,7 @@
 
 
 def document(revision: int, *tenants: Document, public: bool | None = None) -> Document:
-    """One route and one service; `tenants` stands there where any is given."""
+    """One route and one backend; `tenants` is present if any is given."""
     route = {"name": "r", "hostname": "h", "pathPrefix": "/b", "backend": "b", "deadlineMs": 1000}
     if public is not None:
         route["public"] = public
@@ -51,18 +51,19 @@
 
     def __init__(self, first: Document) -> None:
         self.store = ScriptedStore(*[{"kept": True}] * 9)
-        self.gate: Gateway = edge({"s0": self.store})
+        self.gate: Gateway = make_edge({"s0": self.store})
         self.gate.runtime.settings.rule_bounds = RuleBounds(apply_ms=APPLY_MS, revoke_ms=REVOKE_MS)
         self.configure(first)
         self._transport: MemoryTransport = attached(ServerConnection(self.gate._server))
         self._sent = 0
 
     def configure(self, doc: Document) -> None:
-        """Another version is in force at the edge."""
+        """Applies another version at the edge."""
         self.gate.configuration_changed(ConfigurationVersion(doc["revision"], doc))
 
     def let_configuration_lapse(self, apply_ms: float) -> None:
-        """The lease ended so long ago that this configuration may be an old one, by that bound."""
+        """Ends the configuration lease so long ago that, by that bound, the configuration may be out of
+        date."""
         elapsed_ms = configuration_until(0.0, apply_ms)
         self.gate.member.configuration_lease = self.gate.runtime.now() - elapsed_ms
 
@@ -86,7 +87,7 @@
 
 
 def on_a_connection(first: Document, scene: Callable[[OpenConnection], Coroutine]) -> None:
-    """Plays a scene under a simulated clock."""
+    """Runs a scene on a simulated clock."""
 
     async def play(loop: asyncio.AbstractEventLoop) -> None:
         await scene(OpenConnection(first))
@@ -163,13 +164,13 @@
     on_a_connection(document(1, tenant("a", KEY)), scene)
 
 
-def shows_an_edge_judges_no_key_by_a_configuration_that_may_be_an_old_one() -> None:
+def shows_an_edge_checks_no_key_against_a_configuration_that_may_be_outdated() -> None:
     # CONFIG: an edge without a lease for long ran a revoked key, or refused one that had been added.
     async def scene(client: OpenConnection) -> None:
         client.let_configuration_lapse(min(APPLY_MS, REVOKE_MS))
         for key in (KEY, "unknown", None):
             assert await client.status(key) == 503, key
-            # The state of a message is told by a key too.
+            # The state of a message needs a key too.
             for path in ("/v1/message/", "/v1/message-body/"):
                 assert await client.status(key, path + message_ref(7, "a", "id"), "GET") == 503, (key, path)
         assert not client.store.puts
@@ -177,7 +178,7 @@
     on_a_connection(document(1, tenant("a", KEY)), scene)
 
 
-def shows_a_key_is_judged_by_the_shorter_of_both_bounds() -> None:
+def shows_a_key_is_checked_by_the_shorter_of_both_bounds() -> None:
     # CONFIG: where keys must be gone sooner than routes, an edge acted on them until the routes' bound.
     async def scene(client: OpenConnection) -> None:
         bounds = client.gate.runtime.settings.rule_bounds
@@ -190,7 +191,7 @@
     on_a_connection(document(1, tenant("a", KEY)), scene)
 
 
-def shows_a_message_s_state_is_told_by_a_key_of_the_version_in_force() -> None:
+def shows_a_message_s_state_is_readable_with_a_key_of_the_version_in_force() -> None:
     # CONFIG: a state was told to a key that had been taken away, or refused to one that had been added.
     async def scene(client: OpenConnection) -> None:
         client.store.answers = [{"kept": True}]
@@ -206,7 +207,7 @@
     on_a_connection(document(1, tenant("a", KEY)), scene)
 
 
-# What may stand there
+# Validation
 
 
 def answer_to(state: State, kind: OrderKind, base: int, body: Document) -> tuple[int, str]:
@@ -271,7 +272,7 @@
 
 
 def shows_no_text_of_a_refusal_names_a_key() -> None:
-    # A configuration refused for something else of a tenant tells its sender, and the log, none of its keys.
+    # A refusal for another reason must not reveal a tenant's keys to the sender or in the log.
     for tenants in (
         [tenant("a", KEY), tenant("a", KEY)],
         [tenant("a", KEY), tenant("b", KEY)],
@@ -292,18 +293,18 @@
     # A valid change of tenants was refused where the configuration had named none.
     for first in (document(1), document(1) | {"tenants": []}, document(1, tenant("z", "key-of-z"))):
         doc = first
-        kept = first.get("tenants", [])
+        present = first.get("tenants", [])
         for change, wanted in (
-            ({"upsert": {"tenants": [tenant("a", KEY)]}}, [*kept, tenant("a", KEY)]),
-            ({"upsert": {"tenants": [tenant("a", LATER_KEY)]}}, [*kept, tenant("a", LATER_KEY)]),
-            ({"upsert": {"tenants": [tenant("a")]}}, [*kept, tenant("a")]),
-            ({"remove": {"tenants": ["a"]}}, kept),
+            ({"upsert": {"tenants": [tenant("a", KEY)]}}, [*present, tenant("a", KEY)]),
+            ({"upsert": {"tenants": [tenant("a", LATER_KEY)]}}, [*present, tenant("a", LATER_KEY)]),
+            ({"upsert": {"tenants": [tenant("a")]}}, [*present, tenant("a")]),
+            ({"remove": {"tenants": ["a"]}}, present),
         ):
             doc = amended(doc, {"revision": doc["revision"] + 1, **change})
             check(doc)
             assert doc["tenants"] == wanted, (change, doc["tenants"])
             assert orjson.loads(orjson.dumps(doc)) == doc
-    # With no tenants named there is none to remove, and the rest of the change holds.
+    # Without tenants there is none to remove, and the rest of the change applies.
     doc = amended(document(1), {"revision": 2, "remove": {"tenants": ["a"]}})
     assert not doc.get("tenants") and check(doc).revision == 2
 
--- a/tests/tenant_review.py
+++ b/tests/tenant_review.py
@@ -10,7 +10,7 @@
 from sableford.duties.messages import DutyNotice
 from sableford.duties.platform_client import CallOutcome, Verdict
 from sableford.duties.usage_ledger import LATE_PART
-from tests.control_service import wins_again
+from tests.control_service import reelect
 from tests.duties import Members, with_holder
 from tests.duty_platform import CALL, OK, StandIn, played
 from tests.tenant_configuration import KEY, OpenConnection, document, on_a_connection, tenant
@@ -53,7 +53,7 @@
         members = Members()
         await with_holder(members)
         window = members.state.sealed_until + 1
-        assert await wins_again(members.control, members.clock)
+        assert await reelect(members.control, members.clock)
         for name in ("s00", "s01"):
             members.join(name, usage={window: {"t": 3}}, usage_settled=window)
         for _ in range(15):  # 1.5 s: no store can hold an earlier leader's lease any more
--- a/tests/wire_compatibility.py
+++ b/tests/wire_compatibility.py
@@ -98,7 +98,7 @@
     raise AssertionError("it was taken for a response")
 
 
-def shows_messages_whose_fields_all_say_something_have_the_bytes_that_they_had() -> None:
+def shows_messages_without_default_values_have_the_same_bytes() -> None:
     same = 0
     for recorded in RECORDED["messages"]:
         frame = frame_of(recorded["frame"])
@@ -119,7 +119,7 @@
             message = decode_message(value, clocks)
             stored = msgspec.json.decode(FrameReader().feed(value)[0].head, type=StoredMessage)
             assert message.ref == key[1:] and message.synced and message.body is None
-            assert message.due_at == stored.due_at + clocks.steady - clocks.unix
+            assert message.due_at == stored.due_at + clocks.monotonic - clocks.unix
             message.body = FrameReader().feed(value)[0].body
             again = FrameReader().feed(encode_message(message, clocks))[0]
             before, now = fields_of(FrameReader().feed(value)[0].head), fields_of(again.head)
