--- a/sableford/consensus/elections.py
+++ b/sableford/consensus/elections.py
@@ -50,11 +50,11 @@
             return [
                 Send(sender, VoteResponse(self.id, message.term if granted else self.term, granted, True))
             ]
-        out: list[Effect] = []
+        effects: list[Effect] = []
         if has_leader and message.term > self.term:
             return [Send(sender, VoteResponse(self.id, self.term, False, False))]
         if message.term > self.term:
-            out += self._become_follower(now, message.term, "")
+            effects += self._become_follower(now, message.term, "")
         # A candidate persists a term before it requests votes in it, so its folder holds at least that.
         self._note_progress(sender, message.id, message.term, 0)
         granted = message.term == self.term and is_up_to_date and self.vote in ("", sender)
@@ -63,7 +63,9 @@
             self._election_due_at = self._election_deadline(now)
         answer = Send(sender, VoteResponse(self.id, self.term, granted, False, self._unsupported_ms(now)))
         return (
-            out + self._persist(HardState(self.term, self.vote), then=[answer]) if granted else [*out, answer]
+            effects + self._persist(HardState(self.term, self.vote), then=[answer])
+            if granted
+            else [*effects, answer]
         )
 
     def _handle_vote_response(self, now: float, sender: str, message: VoteResponse) -> list[Effect]:
@@ -115,29 +117,29 @@
         self._outgoing.clear()
         self._uncommitted_proposals.clear()
         self._pending_reads.clear()
-        out: list[Effect] = [LogEvent("record_leader", {"leader": self.name, "term": self.term})]
-        out += self._append_own(Entry(self.term, Kind.NOTHING))
+        effects: list[Effect] = [LogEvent("record_leader", {"leader": self.name, "term": self.term})]
+        effects += self._append_own(Entry(self.term, Kind.NOTHING))
         if not self.knows_voter_ids():
             ids = {name: answer.id for name, answer in self._startup_answers.items()} | {self.name: self.id}
-            out += self._append_own(self._voters_entry({name: ids[name] for name in self._voters}))
+            effects += self._append_own(self._voters_entry({name: ids[name] for name in self._voters}))
         self._next_heartbeat_at = now
-        return out + self._send_heartbeats(now)
+        return effects + self._send_heartbeats(now)
 
     def _become_follower(self, now: float, term: int, leader: str) -> list[Effect]:
         """Adopts a later term, or the leader of this one, and steps down if it was the leader."""
-        out: list[Effect] = []
+        effects: list[Effect] = []
         if self.is_leader:
             self._last_support_at = now
-            out.append(LogEvent("record_leads_no_more", {"term": self.term, "newer": term}))
-            out += self._drop_pending_requests("another leads")
+            effects.append(LogEvent("record_leads_no_more", {"term": self.term, "newer": term}))
+            effects += self._drop_pending_requests("another leads")
         if leader and leader != self.leader:
-            out.append(LogEvent("record_leader", {"leader": leader, "term": term}))
+            effects.append(LogEvent("record_leader", {"leader": leader, "term": term}))
         self.is_leader, self.leader, self._votes = False, leader, {}
         if term > self.term:
             self.term, self.vote = term, ""
-            out += self._persist(HardState(term, ""))
+            effects += self._persist(HardState(term, ""))
         self._election_due_at = self._election_deadline(now)
-        return out
+        return effects
 
     def resign(self, now: float) -> list[Effect]:
         """Steps down and waits longer than usual before its own next election, so that another may win."""
--- a/sableford/consensus/proposals.py
+++ b/sableford/consensus/proposals.py
@@ -31,18 +31,18 @@
         self._proposals.pop(number, None)
 
     def _retry_proposals(self, now: float) -> list[Effect]:
-        out: list[Effect] = []
+        effects: list[Effect] = []
         for number, one in list(self._proposals.items()):
             if one.read_index or now - one.sent_at < PROPOSAL_RETRY or not self.leader:
                 continue
             one.sent_at = now
             message = ProposeRequest(number, one.kind, one.data)
-            out += (
+            effects += (
                 self._handle_propose_request(now, self.name, self.incarnation, message)
                 if self.is_leader
                 else [Send(self.leader, message)]
             )
-        return out
+        return effects
 
     def _handle_propose_request(
         self, now: float, sender: str, incarnation: int, message: ProposeRequest
@@ -59,11 +59,11 @@
         if (author, message.number) in self._uncommitted_proposals:
             return []
         self._uncommitted_proposals[author, message.number] = self.last + 1
-        out = self._append_own(Entry(self.term, message.kind, author, message.number, message.data))
+        effects = self._append_own(Entry(self.term, message.kind, author, message.number, message.data))
         for name, one in self._followers.items():
             if one.next_index == self.last:  # else it is behind: its responses trigger sending
-                out += self._send_entries(name, one)
-        return out
+                effects += self._send_entries(name, one)
+        return effects
 
     def _handle_read(self, now: float, read: PendingRead) -> list[Effect]:
         """Queues a read for a heartbeat round that begins after it. While a round for other reads is in
@@ -80,16 +80,16 @@
         if not self._pending_reads or self.term_at(self.commit) != self.term:
             return []
         rounds = {name: one.acked_round for name, one in self._followers.items()} | {self.name: self._round}
-        out: list[Effect] = []
+        effects: list[Effect] = []
         for read in list(self._pending_reads):
             if self._majority(name for name, heard in rounds.items() if heard >= read.round):
                 self._pending_reads.remove(read)
-                out += self._respond(
+                effects += self._respond(
                     read.asker, ProposeResponse(read.incarnation, read.number, True, self.commit)
                 )
         if self._pending_reads and all(read.round > self._round for read in self._pending_reads):
-            out += self._send_heartbeats(self._last_tick)
-        return out
+            effects += self._send_heartbeats(self._last_tick)
+        return effects
 
     def _respond(self, to: str, message: ProposeResponse) -> list[Effect]:
         return (
@@ -109,9 +109,9 @@
         return [ProposalResult(message.number, message.accepted, message.index, message.reason)]
 
     def _finish_reads(self) -> list[Effect]:
-        out: list[Effect] = []
+        effects: list[Effect] = []
         for number, one in list(self._proposals.items()):
             if one.read_index and self.state_machine.last >= one.read_index:
                 del self._proposals[number]
-                out.append(ProposalResult(number, True, self.state_machine.last, ""))
-        return out
+                effects.append(ProposalResult(number, True, self.state_machine.last, ""))
+        return effects
--- a/sableford/consensus/raft_node.py
+++ b/sableford/consensus/raft_node.py
@@ -43,33 +43,33 @@
     `handle_disk_failure` after a write."""
 
     def tick(self, now: float) -> list[Effect]:
-        out: list[Effect] = []
+        effects: list[Effect] = []
         if self._rewrite_due:
             self._rewrite_due = False
-            out += self._persist(self._replace_log())
+            effects += self._persist(self._replace_log())
         if now - self._last_tick > LATE_TICK_THRESHOLD + HEARTBEAT and not self.is_leader:
             # This process was stalled.
             self._election_due_at = max(self._election_due_at, self._election_deadline(now))
         self._last_tick = now
         if self.standing in (Standing.NEW, Standing.ASKING) and now >= self._startup_question_at:
-            out += self._send_startup_questions(now)
+            effects += self._send_startup_questions(now)
         if self.standing in (Standing.REPLACED, Standing.LEARNER) and self._is_voter(self.name, self.id):
-            out += self._readmitted()
+            effects += self._readmitted()
         if self.is_leader:
-            out += self._lead_tick(now)
+            effects += self._lead_tick(now)
         elif (
             self.standing in VOTING_STANDINGS
             and now >= self._election_due_at
             and self._is_voter(self.name, self.id)
         ):
-            out += self._start_election(now)
+            effects += self._start_election(now)
         elif not self._is_voter(self.name, self.id) or self._fetching is not None or self._leaderless(now):
-            out += self._fetch_if_due(now)
+            effects += self._fetch_if_due(now)
         self._expire_snapshot_cache(now)
-        out += self._retry_proposals(now)
+        effects += self._retry_proposals(now)
         waits = not self.is_leader and self._is_voter(self.name, self.id)
         self.due = min(now + HEARTBEAT, max(now + 1.0, self._election_due_at)) if waits else now + HEARTBEAT
-        return out
+        return effects
 
     def handle_connected(self, now: float) -> None:
         """A connection to another process was opened: startup questions are sent again at once."""
--- a/sableford/consensus/raft_state.py
+++ b/sableford/consensus/raft_state.py
@@ -340,7 +340,7 @@
         """All writes up to `number` are durable."""
         if self.standing is Standing.NO_DISK and not self._recovery_number <= number:
             return []  # later than the failed write: the disk lacks what came before it
-        out: list[Effect] = []
+        effects: list[Effect] = []
         while self._held_back and self._held_back[0][0] <= number:
             for effect in self._held_back.popleft()[1]:
                 match effect:
@@ -350,40 +350,40 @@
                     case OwnVoteDurable(term):
                         if term == self.term and not self.is_leader and not self._in_pre_vote:
                             self._votes[self.name] = True
-                            out += self._count_votes(now)
+                            effects += self._count_votes(now)
                     case Send(_, VoteResponse(term=term) | AppendResponse(term=term)) if term != self.term:
                         pass  # the former leader would count it for entries that may be truncated by now
                     case _:
-                        out.append(effect)
+                        effects.append(effect)
         if self.standing is Standing.NO_DISK:
             # The state in memory is complete; only a new process has to ask how far its folder went.
-            out += self._set_standing(self._standing_before_failure, "its disk takes it again")
+            effects += self._set_standing(self._standing_before_failure, "its disk takes it again")
             if self.standing in (Standing.NEW, Standing.ASKING):
                 self._startup_answers.clear()
                 self._startup_began_at = self._startup_question_at = now
         if self.standing is Standing.INCOMPLETE and self._has_recovered_lost():
             self._lost_position = None
-            out += self._persist(self._replace_log()) + self._set_standing(
+            effects += self._persist(self._replace_log()) + self._set_standing(
                 Standing.VOTING, "it has fetched what it lost"
             )
         if self.is_leader:
-            out += self._advance_commit()
-        return out
+            effects += self._advance_commit()
+        return effects
 
     def handle_disk_failure(self, now: float, why: str) -> list[Effect]:
         """A write failed: effects that waited for it are dropped, and this process neither votes nor leads
         until the log was rewritten. Reading goes on."""
         if self.standing is not Standing.NO_DISK:
             self._standing_before_failure = self.standing
-        out = self._set_standing(Standing.NO_DISK, why)
+        effects = self._set_standing(Standing.NO_DISK, why)
         self._held_back.clear()
         self._votes = {}
         self._recovery_number = inf
         if self.is_leader:
             self._last_support_at = now
             self.is_leader, self.leader = False, ""
-            out += self._drop_pending_requests("the leader's disk failed")
-        return out
+            effects += self._drop_pending_requests("the leader's disk failed")
+        return effects
 
     def rewrite(self) -> list[Effect]:
         """Rewrites the whole log after a disk failure, since no earlier write can be trusted. One attempt at
--- a/sableford/consensus/replication.py
+++ b/sableford/consensus/replication.py
@@ -39,18 +39,26 @@
     def has_recent_quorum(self, now: float, within: float) -> bool:
         """Whether it leads, and a majority has acknowledged messages sent within the last `within` ms.
         Whoever wins an election does so after the last response that an earlier leader could count."""
-        lately = [name for name, one in self._followers.items() if now - one.acked_sent_at <= within]
-        return self.is_leader and self._majority([*lately, self.name])
+        recent = [
+            name for name, follower in self._followers.items() if now - follower.acked_sent_at <= within
+        ]
+        return self.is_leader and self._majority([*recent, self.name])
 
     def _lead_tick(self, now: float) -> list[Effect]:
-        near = [name for name, one in self._followers.items() if now - one.last_response_at < QUORUM_TIMEOUT]
-        if not self._majority([*near, self.name]):
+        responsive = [
+            name
+            for name, follower in self._followers.items()
+            if now - follower.last_response_at < QUORUM_TIMEOUT
+        ]
+        if not self._majority([*responsive, self.name]):
             # Without a majority nothing that is proposed to it could be committed.
-            out: list[Effect] = [LogEvent("record_leads_no_more", {"term": self.term, "why": "no majority"})]
+            effects: list[Effect] = [
+                LogEvent("record_leads_no_more", {"term": self.term, "why": "no majority"})
+            ]
             self._last_support_at = now
             self.is_leader, self.leader = False, ""
             self._election_due_at = self._election_deadline(now)
-            return out + self._drop_pending_requests("no majority is heard")
+            return effects + self._drop_pending_requests("no majority is heard")
         if now < self._next_heartbeat_at:
             return []
         self._next_heartbeat_at = now + HEARTBEAT
@@ -61,18 +69,18 @@
         self._round_commit = self.commit
         self._round_sent_at[self._round] = now
         self._round_sent_at.pop(self._round - MAX_REMEMBERED_ROUNDS, None)
-        out: list[Effect] = []
-        for name, one in self._followers.items():
-            out += self._send_to_follower(now, name, one)
-        return out + self._send_learner_heartbeats() + self._advance_commit()
+        effects: list[Effect] = []
+        for name, follower in self._followers.items():
+            effects += self._send_to_follower(now, name, follower)
+        return effects + self._send_learner_heartbeats() + self._advance_commit()
 
-    def _send_to_follower(self, now: float, name: str, one: Follower) -> list[Effect]:
-        silent = now - one.last_response_at >= self._transport.resend
-        if silent and one.next_index <= self.last:
-            one.next_index = one.match_index + 1  # what was sent ahead counts as lost
+    def _send_to_follower(self, now: float, name: str, follower: Follower) -> list[Effect]:
+        is_silent = now - follower.last_response_at >= self._transport.resend
+        if is_silent and follower.next_index <= self.last:
+            follower.next_index = follower.match_index + 1  # what was sent ahead counts as lost
         # A silent follower gets no entries until it responds: they would only fill the send queue.
-        return (not silent and self._send_entries(name, one)) or [
-            Send(name, self._append_request(name, one.next_index - 1, ()))
+        return (not is_silent and self._send_entries(name, follower)) or [
+            Send(name, self._append_request(name, follower.next_index - 1, ()))
         ]
 
     def _append_request(self, name: str, prev: int, entries: tuple[Entry, ...]) -> AppendRequest:
@@ -82,30 +90,30 @@
         return AppendRequest(self.id, self.term, *before, *known, self._voters.get(name, ""))
 
     def _send_entries(
-        self, name: str, one: Follower, max_messages: int = MAX_MESSAGES_IN_FLIGHT
+        self, name: str, follower: Follower, max_messages: int = MAX_MESSAGES_IN_FLIGHT
     ) -> list[Effect]:
         """Entries that the follower lacks, sent ahead of its responses up to the window."""
-        out: list[Effect] = []
-        if one.next_index < self.first:  # it has to fetch the snapshot
+        effects: list[Effect] = []
+        if follower.next_index < self.first:  # it has to fetch the snapshot
             return []
-        if one.next_index > min(self.last, one.match_index + MAX_ENTRIES_IN_FLIGHT):
+        if follower.next_index > min(self.last, follower.match_index + MAX_ENTRIES_IN_FLIGHT):
             return []
-        sent = self.entries[max(0, one.match_index + 1 - self.first) : one.next_index - self.first]
+        sent = self.entries[max(0, follower.match_index + 1 - self.first) : follower.next_index - self.first]
         ahead = sum(map(entry_size, sent))
         while (
-            one.next_index <= min(self.last, one.match_index + MAX_ENTRIES_IN_FLIGHT)
-            and len(out) < max_messages
+            follower.next_index <= min(self.last, follower.match_index + MAX_ENTRIES_IN_FLIGHT)
+            and len(effects) < max_messages
         ):
-            size, end = entry_size(self.entry_at(one.next_index)), one.next_index + 1
+            size, end = entry_size(self.entry_at(follower.next_index)), follower.next_index + 1
             while end <= self.last and size + entry_size(self.entry_at(end)) <= self._transport.batch_bytes:
                 size += entry_size(self.entry_at(end))
                 end += 1
             if ahead and ahead + size > self._transport.window_bytes:
                 break
-            entries = tuple(self.entries[one.next_index - self.first : end - self.first])
-            out.append(Send(name, self._append_request(name, one.next_index - 1, entries)))
-            one.next_index, ahead = end, ahead + size
-        return out
+            entries = tuple(self.entries[follower.next_index - self.first : end - self.first])
+            effects.append(Send(name, self._append_request(name, follower.next_index - 1, entries)))
+            follower.next_index, ahead = end, ahead + size
+        return effects
 
     def _handle_append_response(self, now: float, sender: str, message: AppendResponse) -> list[Effect]:
         if message.term > self.term and self._is_voter(sender, message.id):
@@ -115,36 +123,36 @@
         if not self._is_voter(sender, message.id):  # a process of that name, but not the folder that votes
             self._note_replaced_folder(now, sender, message.id)
             return []
-        one = self._followers[sender]
-        one.last_response_at, one.acked_round = now, max(one.acked_round, message.round)
-        one.acked_sent_at = max(one.acked_sent_at, self._round_sent_at.get(message.round, -1e12))
+        follower = self._followers[sender]
+        follower.last_response_at, follower.acked_round = now, max(follower.acked_round, message.round)
+        follower.acked_sent_at = max(follower.acked_sent_at, self._round_sent_at.get(message.round, -1e12))
         self._note_progress(sender, message.id, message.term, message.last if message.success else 0)
         if message.success:
-            one.match_index = max(one.match_index, min(message.last, self.last))
-            one.next_index = max(one.next_index, one.match_index + 1)
-            return self._advance_commit() + self._send_entries(sender, one)
-        one.next_index = max(one.match_index + 1, min(message.last + 1, one.next_index))
-        if now - one.resent_at < HEARTBEAT / 2.0:  # one resend for all messages that it rejected
+            follower.match_index = max(follower.match_index, min(message.last, self.last))
+            follower.next_index = max(follower.next_index, follower.match_index + 1)
+            return self._advance_commit() + self._send_entries(sender, follower)
+        follower.next_index = max(follower.match_index + 1, min(message.last + 1, follower.next_index))
+        if now - follower.resent_at < HEARTBEAT / 2.0:  # one resend for all messages that it rejected
             return []
-        one.resent_at = now
-        if message.last < one.match_index:
+        follower.resent_at = now
+        if message.last < follower.match_index:
             # It has acknowledged more: this answer shows it that its folder was set back.
             return [Send(sender, self._startup_answer_for(sender))]
-        if one.next_index < self.first and now - one.last_fetch_at > FETCH_INTERVAL:
+        if follower.next_index < self.first and now - follower.last_fetch_at > FETCH_INTERVAL:
             # The previous version requests a snapshot only if it is far behind or has received its start.
             return self._send_snapshot(now, sender, FetchRequest(message.id, message.last))
-        return self._send_entries(sender, one, 1)
+        return self._send_entries(sender, follower, 1)
 
     def _advance_commit(self) -> list[Effect]:
         """Commits what is durable at a majority, if its last entry is of this term."""
-        out: list[Effect] = []
-        durable = {name: one.match_index for name, one in self._followers.items()}
+        effects: list[Effect] = []
+        durable = {name: follower.match_index for name, follower in self._followers.items()}
         durable[self.name] = self.durable if self.standing in ACKNOWLEDGING_STANDINGS else 0
         ranked = sorted((durable.get(name, 0) for name in self._voters), reverse=True)
-        agreed = ranked[len(ranked) // 2] if ranked else 0
-        if agreed > self.commit and self.term_at(agreed) == self.term:
-            out += self._apply_committed(agreed)
-        return out + self._answer_reads()
+        majority_index = ranked[len(ranked) // 2] if ranked else 0
+        if majority_index > self.commit and self.term_at(majority_index) == self.term:
+            effects += self._apply_committed(majority_index)
+        return effects + self._answer_reads()
 
     # Follower
 
@@ -155,7 +163,7 @@
         if not voter and (message.first or not self._is_voter(self.name, self.id)):
             # The leader does not count it as a voter: it fetches.
             return self._handle_learner_heartbeat(now, sender)
-        out = (
+        effects = (
             self._become_follower(now, message.term, sender)
             if (message.term, sender) != (self.term, self.leader)
             else []
@@ -165,7 +173,7 @@
         self._note_progress(sender, message.id, message.term, message.durable)
         joins = voter and self.standing in (Standing.REPLACED, Standing.LEARNER)
         if self.standing not in ACKNOWLEDGING_STANDINGS and not joins:
-            return out  # entries that only memory holds would count as durable once the disk is back
+            return effects  # entries that only memory holds would count as durable once the disk is back
         if message.prev > self.last or (
             message.prev >= self.first and self.term_at(message.prev) != message.prev_term
         ):
@@ -173,9 +181,9 @@
             # Whether the leader's log lacks the next entry; the previous version does not send `first`.
             first = message.first or message.commit + 1 - SNAPSHOT_KEEP_ENTRIES
             if first > hint + 1 and (now >= self._next_fetch_at or self._fetch_source != sender):
-                out += self._fetch(now, sender)
+                effects += self._fetch(now, sender)
             return [
-                *out,
+                *effects,
                 Send(
                     sender, AppendResponse(self.id, self.term, False, max(hint, self.commit), message.round)
                 ),
@@ -197,15 +205,15 @@
         held = message.prev + len(message.entries)
         commit = min(message.commit, held)
         answer = [Send(sender, AppendResponse(self.id, self.term, True, held, message.round))]
-        out += self._persist(*writes, then=answer) if writes else self._after_persisted(answer)
+        effects += self._persist(*writes, then=answer) if writes else self._after_persisted(answer)
         if commit > self.commit:
-            out += self._apply_committed(commit)
-        return out
+            effects += self._apply_committed(commit)
+        return effects
 
     # Commitment
 
     def _apply_committed(self, commit: int) -> list[Effect]:
-        out: list[Effect] = []
+        effects: list[Effect] = []
         self.commit = commit
         while (
             self.state_machine.last < commit
@@ -216,21 +224,21 @@
             effective = self.state_machine.apply(index, entry)
             if self.state_machine.stopped:
                 if not stopped:
-                    out.append(LogEvent("record_stopped", {"why": self.state_machine.stopped}))
+                    effects.append(LogEvent("record_stopped", {"why": self.state_machine.stopped}))
                 break
             self._applied_bytes += entry_size(entry)
-            out.append(Committed(index, entry, effective))
+            effects.append(Committed(index, entry, effective))
             if (
                 self.is_leader
                 and self._uncommitted_proposals.pop((entry.author, entry.number), None) is not None
             ):
                 name, _, incarnation = entry.author.rpartition("#")
-                out += self._respond(
+                effects += self._respond(
                     name,
                     ProposeResponse(
                         int(incarnation), entry.number, effective, index, "" if effective else KEY_CHANGED
                     ),
                 )
         if self._compaction_due():
-            out += self._compact()
-        return out + self._finish_reads()
+            effects += self._compact()
+        return effects + self._finish_reads()
--- a/sableford/consensus/snapshots.py
+++ b/sableford/consensus/snapshots.py
@@ -130,17 +130,17 @@
     def _batches(self, first: int) -> list[tuple[int, tuple[Entry, ...]]]:
         """Committed entries from `first` on, as many as one response holds: the first index and entries of
         each message, at least one message."""
-        out: list[tuple[int, tuple[Entry, ...]]] = []
-        while len(out) < self._transport.pieces and (first <= self.commit or not out):
+        batches: list[tuple[int, tuple[Entry, ...]]] = []
+        while len(batches) < self._transport.pieces and (first <= self.commit or not batches):
             end, size = first, 0
             while end <= self.commit and (
                 size == 0 or size + entry_size(self.entry_at(end)) <= self._transport.batch_bytes
             ):
                 size += entry_size(self.entry_at(end))
                 end += 1
-            out.append((first, tuple(self.entries[first - self.first : end - self.first])))
+            batches.append((first, tuple(self.entries[first - self.first : end - self.first])))
             first = end
-        return out
+        return batches
 
     def _send_snapshot(self, now: float, sender: str, message: FetchRequest) -> list[Effect]:
         """The next chunks of the snapshot whose transfer has begun, while it is cached, else of the newest. A
@@ -183,18 +183,18 @@
             self._next_fetch_at = min(self._next_fetch_at, now + FETCH_RETRY)
             return []
         self.leader, self._unanswered_fetches = self.leader if votes else message.leader, 0
-        out, follows, agreed = [], message, self.commit
+        effects, follows, commit_before = [], message, self.commit
         while follows is not None:
-            out += self._append_fetched(follows)
+            effects += self._append_fetched(follows)
             follows = self._early.pop(self.commit + 1, None)
-        if self.commit > agreed:
+        if self.commit > commit_before:
             self._fetching = None  # a snapshot is no longer needed
         if message.commit <= self.commit:
-            return out
+            return effects
         if self.commit >= message.through > 0 and self.commit > self._requested_after:
-            return out + self._fetch(now, sender)
+            return effects + self._fetch(now, sender)
         self._next_fetch_at = min(self._next_fetch_at, now + (FETCH_RETRY if message.through else 0.0))
-        return out
+        return effects
 
     def _append_fetched(self, message: FetchResponse) -> list[Effect]:
         writes: list = []
@@ -207,11 +207,11 @@
                 self.durable = min(self.durable, index - 1)
             self.entries.append(entry)
             writes.append(AppendToLog(index, entry))
-        out = self._persist(*writes) if writes else []
+        effects = self._persist(*writes) if writes else []
         if any(isinstance(write, TruncateLog) or write.entry.kind == Kind.VOTERS for write in writes):
             self._set_voters()
         last = message.first + len(message.entries) - 1
-        return out + self._apply_committed(min(last, message.commit)) if last > self.commit else out
+        return effects + self._apply_committed(min(last, message.commit)) if last > self.commit else effects
 
     def _handle_snapshot_chunk(self, now: float, sender: str, message: SnapshotChunk) -> list[Effect]:
         if (
@@ -221,21 +221,29 @@
         ):
             return []
         self._unanswered_fetches = 0
-        one = self._fetching
-        if one is None or (one.source, one.last, one.size) != (sender, message.last, message.size):
+        transfer = self._fetching
+        if transfer is None or (transfer.source, transfer.last, transfer.size) != (
+            sender,
+            message.last,
+            message.size,
+        ):
             if message.offset:  # a late chunk of an abandoned transfer
                 return []
-            one = self._fetching = SnapshotTransfer(sender, message.last, message.size)
-        one.take(message.offset, message.data)
-        if len(one.data) >= one.size:
-            return self._install_snapshot(now, one)
+            transfer = self._fetching = SnapshotTransfer(sender, message.last, message.size)
+        transfer.take(message.offset, message.data)
+        if len(transfer.data) >= transfer.size:
+            return self._install_snapshot(now, transfer)
         self._next_fetch_at = now + self._transport.fetch_retry
-        over = (
-            len(one.data) >= message.through
+        is_response_complete = (
+            len(transfer.data) >= message.through
             if message.through
-            else len(one.data) % LEGACY_SNAPSHOT_WINDOW == 0
+            else len(transfer.data) % LEGACY_SNAPSHOT_WINDOW == 0
+        )
+        return (
+            self._fetch(now, sender)
+            if is_response_complete and len(transfer.data) > transfer.asked_at
+            else []
         )
-        return self._fetch(now, sender) if over and len(one.data) > one.asked_at else []
 
     def _install_snapshot(self, now: float, fetched: SnapshotTransfer) -> list[Effect]:
         """Installs a complete snapshot; it counts as durable once it is on disk."""
@@ -244,16 +252,16 @@
             snapshot = msgspec.msgpack.decode(bytes(fetched.data), type=Snapshot)
         except msgspec.MsgspecError:
             return [LogEvent("record_snapshot_spoilt", {"from": fetched.source})]
-        agreed = self.commit
+        commit_before = self.commit
         self._adopt_snapshot(snapshot)
         if not self.entries:  # nothing on disk continues the snapshot
-            self.durable = min(self.durable, agreed)
+            self.durable = min(self.durable, commit_before)
         self.commit = self.state_machine.last
         self._voters = self._latest_voters()
-        out = self._persist(self._replace_log())
-        out += [
+        effects = self._persist(self._replace_log())
+        effects += [
             LogEvent("record_snapshot", {"from": fetched.source, "last": snapshot.last}),
             SnapshotInstalled(snapshot.last),
             *self._finish_reads(),
         ]
-        return out if self._is_voter(self.name, self.id) else out + self._fetch(now, fetched.source)
+        return effects if self._is_voter(self.name, self.id) else effects + self._fetch(now, fetched.source)
--- a/sableford/consensus/startup.py
+++ b/sableford/consensus/startup.py
@@ -16,10 +16,10 @@
 
     def _send_startup_questions(self, now: float) -> list[Effect]:
         self._startup_question_at = now + STARTUP_QUESTION_INTERVAL
-        out: list[Effect] = []
+        effects: list[Effect] = []
         message = StartupQuestion(self.id, self.term, self.durable, self.knows_voter_ids())
-        out += [Send(name, message) for name in self._peers()]
-        return out + self._decide_standing(now)
+        effects += [Send(name, message) for name in self._peers()]
+        return effects + self._decide_standing(now)
 
     def _decide_standing(self, now: float) -> list[Effect]:
         """Sets the standing once enough startup answers are known."""
@@ -98,8 +98,8 @@
                 why = (
                     f"{sender} heard of entry {message.your_last} of term {message.your_term}, it ends before"
                 )
-            out = self._set_standing(Standing.REPLACED, why)
-            return out + self._reset_as_newcomer()
+            effects = self._set_standing(Standing.REPLACED, why)
+            return effects + self._reset_as_newcomer()
         return self._decide_standing(now) if self.standing in (Standing.NEW, Standing.ASKING) else []
 
     def _reset_as_newcomer(self) -> list[Effect]:
--- a/sableford/consensus/voter_changes.py
+++ b/sableford/consensus/voter_changes.py
@@ -51,8 +51,8 @@
         self._learners[name] = known._replace(last_fetch_at=now)
 
     def _is_silent(self, now: float, name: str) -> bool:
-        one = self._followers.get(name)
-        return one is not None and now - one.last_response_at >= SILENCE_TIMEOUT
+        follower = self._followers.get(name)
+        return follower is not None and now - follower.last_response_at >= SILENCE_TIMEOUT
 
     def _wanted_learners(self, now: float, within: float) -> dict[str, str]:
         """Ids of learners that are to become voters and were heard within that time."""
@@ -78,34 +78,36 @@
             for name, id in self._wanted_learners(now, FETCH_INTERVAL).items()
             if name not in self._voters and self._learners[name].caught_up
         }
-        past = self._outgoing_voters(now)
-        if past and newcomers and size > 2 and self._is_silent(now, past[0]):
-            return self._remove_voter(past[0])
-        unsure = [name for name in past if self._followers[name].acked_round <= self._outgoing[name]]
-        if not all(self._is_silent(now, name) for name in unsure):
+        outgoing = self._outgoing_voters(now)
+        if outgoing and newcomers and size > 2 and self._is_silent(now, outgoing[0]):
+            return self._remove_voter(outgoing[0])
+        unconfirmed = [name for name in outgoing if self._followers[name].acked_round <= self._outgoing[name]]
+        if not all(self._is_silent(now, name) for name in unconfirmed):
             return []  # not known yet whether they respond
         for name, id in newcomers.items():
             return self._add_voter(name, id)
         # Without a newcomer only if the remaining voters tolerate as many failures as the wanted ones.
-        filled = self._voters.keys() >= set(self.wanted_voters)
-        if past and filled and (size - 2) // 2 >= (len(self.wanted_voters) - 1) // 2:
-            return self._remove_voter(past[0])
+        wanted_are_voters = self._voters.keys() >= set(self.wanted_voters)
+        if outgoing and wanted_are_voters and (size - 2) // 2 >= (len(self.wanted_voters) - 1) // 2:
+            return self._remove_voter(outgoing[0])
         return []
 
     def _outgoing_voters(self, now: float) -> list[str]:
         """Voters to remove, silent ones first; and updates the round in which each was first seen so."""
-        past = [name for name in sorted(self._voters) if name not in self.wanted_voters and name != self.name]
-        self._outgoing = {name: self._outgoing.get(name, self._round) for name in past}
-        return sorted(past, key=lambda name: not self._is_silent(now, name))
+        outgoing = [
+            name for name in sorted(self._voters) if name not in self.wanted_voters and name != self.name
+        ]
+        self._outgoing = {name: self._outgoing.get(name, self._round) for name in outgoing}
+        return sorted(outgoing, key=lambda name: not self._is_silent(now, name))
 
     def _add_voter(self, name: str, id: str) -> list[Effect]:
         event = LogEvent("record_voter", {"voter": name, "id": id, "in": True})
         return [event, *self._append_own(self._voters_entry({**self._voters, name: id}))]
 
     def _remove_voter(self, name: str) -> list[Effect]:
-        rest = {other: id for other, id in self._voters.items() if other != name}
+        remaining = {other: id for other, id in self._voters.items() if other != name}
         event = LogEvent("record_voter", {"voter": name, "id": self._voters[name], "in": False})
-        return [event, *self._append_own(self._voters_entry(rest))]
+        return [event, *self._append_own(self._voters_entry(remaining))]
 
     def _send_learner_heartbeats(self) -> list[Effect]:
         """Heartbeats to future voters, which makes them fetch from the leader."""
