--- a/sableford/consensus/raft_node.py
+++ b/sableford/consensus/raft_node.py
@@ -39,7 +39,7 @@
 
 
 class RaftNode(Startup, Elections, Replication, VoterChanges, Snapshots, Proposals):
-    """The host calls `tick` at `due`, `heard` for each message, `handle_persisted` or
+    """The host calls `tick` at `due`, `handle_message` for each message, `handle_persisted` or
     `handle_disk_failure` after a write."""
 
     def tick(self, now: float) -> list[Effect]:
@@ -78,7 +78,7 @@
 
     # Messages
 
-    def heard(self, now: float, sender: str, incarnation: int, message: RaftMessage) -> list[Effect]:
+    def handle_message(self, now: float, sender: str, incarnation: int, message: RaftMessage) -> list[Effect]:
         """Handles a message from another process."""
         match message:
             case StartupQuestion():
--- a/sableford/consensus/raft_state.py
+++ b/sableford/consensus/raft_state.py
@@ -248,8 +248,8 @@
         self.due = now
 
     @property
-    def birth(self) -> int:
-        """The incarnation, under the name that the membership datagrams use."""
+    def process_id(self) -> int:
+        """The incarnation, under the name that `sableford.fleet` uses."""
         return self.incarnation
 
     @property
--- a/sableford/control/record_driver.py
+++ b/sableford/control/record_driver.py
@@ -126,7 +126,7 @@
             return
         sender = incoming.message.sender
         self._incoming_links[sender] = incoming.link
-        self.carry_out(self.record.heard(self._now(), sender, incoming.message.incarnation, message))
+        self.carry_out(self.record.handle_message(self._now(), sender, incoming.message.incarnation, message))
         self._on_event()
 
     async def propose(
--- a/sableford/fleet/__init__.py
+++ b/sableford/fleet/__init__.py
@@ -1,2 +1,1 @@
-"""The schedulers as a fleet: who is there, and one record that they agree on. Off unless a file switches it
-on."""
+"""Optional cluster of schedulers: membership and a replicated log. Off unless it is configured."""
--- a/sableford/fleet/cli.py
+++ b/sableford/fleet/cli.py
@@ -1,7 +1,4 @@
-"""`sableford fleet`: how the fleet looks from one scheduler.
-
-It owns the words on the terminal. It asks one operators' door, which answers from what its process holds.
-"""
+"""`sableford fleet`: shows the state of the fleet as one scheduler sees it, queried from its console."""
 
 import http.client
 import json
@@ -9,58 +6,67 @@
 
 import click
 
-WAIT = 2.0  # s for a door to answer
+TIMEOUT_S = 2.0  # of the console request
 
 
 @click.group()
 def fleet() -> None:
-    """The schedulers as a fleet."""
+    """Inspect the fleet of schedulers."""
 
 
 @fleet.command()
-@click.option("--door", required=True, metavar="HOST:PORT", help="A scheduler's operators' door.")
-@click.option("--json", "as_json", is_flag=True, help="All of it as one JSON object.")
+@click.option("--door", required=True, metavar="HOST:PORT", help="Address of a scheduler's console.")
+@click.option("--json", "as_json", is_flag=True, help="Print the full status as one JSON object.")
 def show(door: str, as_json: bool) -> None:
-    """Who is there, who votes and leads, and how far each is, as that scheduler holds it."""
+    """Show members, voters, leader and commit indexes as that scheduler sees them."""
     try:
-        line = http.client.HTTPConnection(door, timeout=WAIT)
-        line.request("GET", "/fleet")
-        answer = line.getresponse()
-        text = answer.read().decode()
+        connection = http.client.HTTPConnection(door, timeout=TIMEOUT_S)
+        connection.request("GET", "/fleet")
+        response = connection.getresponse()
+        text = response.read().decode()
     except (OSError, http.client.HTTPException) as problem:
         click.echo(f"sableford: {door}: {problem}", err=True)
         sys.exit(2)
-    if answer.status != 200:
+    if response.status != 200:
         click.echo(f"sableford: {door}: {text.strip()}", err=True)
         sys.exit(1)
     click.echo(text.strip() if as_json else "\n".join(table(json.loads(text))))
 
 
-def table(told: dict) -> list[str]:
-    """A line for the process that was asked, one for each other, one for the record."""
-    if "name" not in told:
+def table(status: dict) -> list[str]:
+    """Lines for the queried scheduler, each other member and the replicated log."""
+    if "name" not in status:
         return ["not in the fleet yet: its address is not free"]
-    if "failed" in told:
-        return [f"{told['name']}: the fleet's part has failed: {told['failed']}"]
-    record = told.get("record", {})
+    if "failed" in status:
+        return [f"{status['name']}: the fleet's part has failed: {status['failed']}"]
+    record = status.get("record", {})
     voters = record.get("voters", {})
     lines = [f"{'member':12} {'state':8} {'for s':>8} {'incarnation':>11} {'record':>8}  votes, suspected by"]
-    own = f"{told['name']:12} {'itself':8} {'':8} {told['incarnation']:11} {record.get('commit', 0):8}"
+    own_line = (
+        f"{status['name']:12} {'itself':8} {'':8} {status['incarnation']:11} {record.get('commit', 0):8}"
+    )
     lines.append(
-        own
-        + ("  votes" if told["name"] in voters else "")
-        + (f"  late {told['late']}" if told["late"] else "")
+        own_line
+        + ("  votes" if status["name"] in voters else "")
+        + (f"  late {status['late']}" if status["late"] else "")
     )
-    for one in sorted(told["members"], key=lambda one: one["name"]):
-        age = f"{(told['now'] - one['since']) / 1000.0:8.1f}" if one["incarnation"] >= 0 else f"{'':8}"
-        by = ", ".join(one["suspected_by"])
-        marks = [
-            word
-            for word, so in (("votes", one["name"] in voters), ("leads", one["name"] == record.get("leader")))
-            if so
+    for member in sorted(status["members"], key=lambda member: member["name"]):
+        age = (
+            f"{(status['now'] - member['since']) / 1000.0:8.1f}" if member["incarnation"] >= 0 else f"{'':8}"
+        )
+        suspected_by = ", ".join(member["suspected_by"])
+        roles = [
+            role
+            for role, holds in (
+                ("votes", member["name"] in voters),
+                ("leads", member["name"] == record.get("leader")),
+            )
+            if holds
         ]
-        line = f"{one['name']:12} {one['state']:8} {age} {one['incarnation']:11} {one['record']:8}  "
-        lines.append((line + " ".join([*marks, by])).rstrip())
+        line = (
+            f"{member['name']:12} {member['state']:8} {age} {member['incarnation']:11} {member['record']:8}  "
+        )
+        lines.append((line + " ".join([*roles, suspected_by])).rstrip())
     if record:
         lines.append(
             f"record: {record['standing']} ({record['means']}), leader {record['leader'] or 'none'}, "
@@ -68,6 +74,6 @@
         )
         if record["stopped"]:
             lines.append(f"STOPPED: {record['stopped']}")
-    if told["disk"]:
-        lines.append(f"DISK: {told['disk']}")
+    if status["disk"]:
+        lines.append(f"DISK: {status['disk']}")
     return lines
--- a/sableford/fleet/membership/__init__.py
+++ b/sableford/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: SWIM with suspicion, incarnations, indirect probes and Lifeguard's local health."""
+"""Membership: SWIM with suspicion, incarnations, indirect probes and Lifeguard's local health."""
--- a/sableford/fleet/membership/core.py
+++ b/sableford/fleet/membership/core.py
@@ -1,8 +1,11 @@
-"""Membership's decisions: whom to probe, whom to suspect, when to call one dead, what to believe of others.
+"""Failure detector and membership dissemination of one process.
 
-It owns what one process holds of the members. It has no clock, socket or thread: times come in, effects go
-out. After "SWIM" (Das, Gupta, Motivala 2002) and "Lifeguard" (Dadgar, Phillips, Currey 2017), with one
-addition: who hears of a suspicion probes that one next, so that it is confirmed or refuted within a period.
+Decides which member to probe, when to suspect it or declare it dead, and which updates of other members to
+apply. It performs no I/O and reads no clock: callers pass the time and carry out the returned effects.
+
+Follows SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2017), with one addition: a
+process that learns of a suspicion probes the suspect next, so that it is confirmed or refuted within one
+probe interval.
 """
 
 from collections.abc import Iterable
@@ -12,453 +15,524 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from sableford.fleet.membership.words import Ack, Ask, Nack, News, Ping, State, Sync, Words
-
-PERIOD = 200.0  # ms between two probes: three periods and a suspicion are under 2 s with six members
-DIRECT = 70.0  # ms for a probe's answer before others are asked: some ten ways there and back
-HELPERS = 3  # asked to probe for one; Lifeguard's and SWIM's own figure
-SUSPECTED = 1000.0  # ms at the least: one that stood still for a second has time to say so
-DOUBT = 3.0  # a suspicion that nobody confirms lasts so many times as long
-CONFIRMED = 3  # so many others make a suspicion as short as it gets
-MOST_LATE = 8  # of the local health's score; Lifeguard's figure
-MOST_LOSSY = 3  # suspicions last up to four times as long where ways lose; longer would hide the dead
-SOUND = 4  # answers in a row without help for one step back
-CARRIED = 6  # news beside one word: 300 bytes
-SAID = 3  # times log2 of the members: how often one piece of news is passed on; SWIM's lambda
-SYNC = 10  # periods between two exchanges with somebody at random
-SYNCED = 16  # members spoken of in one word, so that its size does not grow with the fleet
-BUCKETS = 16  # of names, each with a digest: 80 bytes say which part of two views differs
-TWINS = 1000.0  # ms after another birth was heard that the earlier one speaks again: no straggler is so late
-FORGET = 60_000.0  # ms a dead or left one is remembered, lest old news bring it back
-MOST_MEMBERS = 4096  # names: what a spoilt or ill-meant sender can make this process hold
+from sableford.fleet.membership.messages import (
+    Ack,
+    MembershipMessage,
+    MemberUpdate,
+    Nack,
+    Ping,
+    PingRequest,
+    State,
+    Sync,
+)
+
+PROBE_INTERVAL_MS = 200.0  # between probes: three intervals and a suspicion take under 2 s with six members
+PROBE_TIMEOUT_MS = 70.0  # before an indirect probe is sent: about ten round trips
+INDIRECT_PROBES = 3  # members asked for an indirect probe; the value that SWIM and Lifeguard use
+MIN_SUSPICION_MS = 1000.0  # at least: a process that paused for a second has time to refute
+MAX_SUSPICION_FACTOR = 3.0  # the time-out of an unconfirmed suspicion is this many times the minimum
+MAX_CONFIRMATIONS = 3  # confirmations that reduce the time-out to the minimum
+MAX_HEALTH_SCORE = 8  # of Lifeguard's local health; the value that Lifeguard uses
+MAX_LOSS_SCORE = 3  # message loss extends suspicions up to four times; longer would hide dead members
+ACKS_PER_LOSS_STEP = 4  # consecutive acknowledgements of direct probes that lower the loss score by one
+MAX_PIGGYBACKED = 6  # updates piggybacked on one message: 300 bytes
+RETRANSMIT_FACTOR = 3  # times log2 of the number of members: how often an update is passed on; SWIM's lambda
+SYNC_INTERVAL = 10  # probe intervals between two exchanges with a random member
+MAX_SYNC_UPDATES = 16  # updates in one message, so that its size does not grow with the fleet
+DIGEST_BUCKETS = 16  # of names, each with a digest: 80 bytes show which part of two views differs
+DUPLICATE_AFTER_MS = 1000.0  # no datagram is delayed for so long after its process was replaced
+FORGET_AFTER_MS = 60_000.0  # until then an old update cannot revive a member that died or left
+MAX_MEMBERS = 4096  # bounds the memory that a faulty or malicious sender can use
 
 
 class Member:
-    """One other as this process holds it."""
-
-    __slots__ = ("before", "birth", "by", "heard", "incarnation", "name", "newest", "place", "since", "state")
-
-    def __init__(self, name: str, place: str) -> None:
-        self.name, self.place = name, place
-        self.birth, self.incarnation, self.state = 0, -1, State.DEAD  # nothing heard yet
-        self.since = 0.0  # of the state
-        self.by: set[str] = set()  # who suspects it
-        self.heard: dict[int, float] = {}  # by birth: when it spoke itself first
-        self.before = 0  # the birth before this one
-        self.newest = 0  # how far its record is, by its own word
+    """Another member as this process knows it."""
+
+    __slots__ = (
+        "address",
+        "commit",
+        "first_heard",
+        "incarnation",
+        "name",
+        "previous_process",
+        "process_id",
+        "since",
+        "state",
+        "suspected_by",
+    )
+
+    def __init__(self, name: str, address: str) -> None:
+        self.name, self.address = name, address
+        self.process_id, self.incarnation, self.state = 0, -1, State.DEAD  # no update received yet
+        self.since = 0.0  # time of the last change of `state`
+        self.suspected_by: set[str] = set()  # names of the members that suspect it
+        self.first_heard: dict[int, float] = {}  # by process: time of its first message
+        self.previous_process = 0  # process before the present one
+        self.commit = 0  # commit index of its log, as it reports
 
 
 class Send(NamedTuple):
-    """An effect: say it to that one."""
+    """Effect: send a message to a member."""
 
     to: str
-    place: str
-    message: Words
+    address: str
+    message: MembershipMessage
 
 
-class Changed(NamedTuple):
-    """An effect: a member's state is another; `why` in a few words."""
+class StateChanged(NamedTuple):
+    """Effect: a member's state has changed. `why` is the reason for the log."""
 
     name: str
     state: State
-    birth: int
+    process_id: int
     why: str
 
 
-class Twin(NamedTuple):
-    """An effect: two processes of one name speak."""
+class DuplicateName(NamedTuple):
+    """Effect: two processes use the same name."""
 
     name: str
-    births: tuple[int, int]
+    process_ids: tuple[int, int]
 
 
-Effect = Send | Changed | Twin
+Effect = Send | StateChanged | DuplicateName
 
 
 class _Probe:
-    __slots__ = ("asked", "incarnation", "nacks", "name", "number")
+    __slots__ = ("helpers", "incarnation", "nacks", "name", "number")
 
     def __init__(self, name: str, number: int, incarnation: int) -> None:
         self.name, self.number, self.incarnation = name, number, incarnation
-        self.asked: set[str] = set()
+        self.helpers: set[str] = set()
         self.nacks: set[str] = set()
 
 
-class Members:
-    """One process's view. `tick` at `due` or soon after, `heard` for each word, `leave` once at the end."""
+class Membership:
+    """Membership as one process sees it.
+
+    Call `tick` at `due` or soon after, `handle_message` for each message, and `leave` once before the process
+    ends.
+    """
 
     def __init__(
-        self, name: str, birth: int, place: str, peers: dict[str, str], now: float, seed: int
+        self, name: str, process_id: int, address: str, peers: dict[str, str], now: float, seed: int
     ) -> None:
-        """`peers`: where each listed one listens, by name; any of them takes a newcomer in."""
-        self.name, self.birth, self.place, self.incarnation = name, birth, place, 0
-        self._draw = Random(f"{name} {birth} {seed}")
+        """`peers`: addresses of the configured members by name; a new process can join through any."""
+        self.name, self.process_id, self.address, self.incarnation = name, process_id, address, 0
+        self._random = Random(f"{name} {process_id} {seed}")
         self.others = {peer: Member(peer, at) for peer, at in peers.items() if peer != name}
-        self._listed = dict(peers)
-        self.newest = 0  # how far the own record is
-        self.late = 0  # Lifeguard's local health: 0 is well
-        self._lossy = self._direct = 0  # how the ways are, and answers in a row that needed no help
-        self._number = 0
-        self._turns: list[str] = []
+        self._configured = dict(peers)
+        self.commit = 0  # commit index of the own log
+        self.health_score = 0  # Lifeguard's local health: 0 is healthy
+        self._loss_score = self._direct_acks = 0  # `_direct_acks`: consecutive acks of direct probes
+        self._last_number = 0
+        self._probe_order: list[str] = []
         self._probe: _Probe | None = None
-        self._direct_at = 0.0  # when others are asked
-        self._next_at = now + self._draw.random() * PERIOD
+        self._indirect_at = 0.0  # when the indirect probe is sent
+        self._next_probe_at = now + self._random.random() * PROBE_INTERVAL_MS
         self._periods = 0
-        self._relayed: dict[int, tuple[str, int, float]] = {}  # own number: asker, its number, until
+        # Probes for others by own number: requester, its number, deadline.
+        self._relayed: dict[int, tuple[str, int, float]] = {}
         self._suspects: dict[str, Member] = {}
-        self._said: dict[str, int] = {}  # news to pass on, by name: how often it was
-        self._urgent: list[str] = []
-        self._left = False
+        self._sent_counts: dict[str, int] = {}  # updates to pass on, by name: how often each was sent
+        self._new_suspects: list[str] = []
+        self._has_left = False
         self.due = now
         self._joined = False
 
-    # What it holds
+    # View
 
     def alive(self) -> list[str]:
-        """All that may be spoken to: also who is suspected."""
-        return [one.name for one in self.others.values() if one.state in (State.ALIVE, State.SUSPECT)]
+        """Names of the members that messages are sent to, suspected ones included."""
+        return [
+            member.name for member in self.others.values() if member.state in (State.ALIVE, State.SUSPECT)
+        ]
 
-    def health(self) -> float:
-        """How many times as long everything is given while this process is itself late."""
-        return 1.0 + self.late
+    def health_factor(self) -> float:
+        """By which factor time-outs are extended while this process is itself slow."""
+        return 1.0 + self.health_score
 
-    def _news(self, one: Member) -> News:
-        by = self.name if self.name in one.by else min(one.by, default="")
-        return News(one.name, one.birth, one.incarnation, one.state, one.place, by)
+    def _update_of(self, member: Member) -> MemberUpdate:
+        by = self.name if self.name in member.suspected_by else min(member.suspected_by, default="")
+        return MemberUpdate(
+            member.name, member.process_id, member.incarnation, member.state, member.address, by
+        )
 
-    def _self(self) -> News:
-        state = State.LEFT if self._left else State.ALIVE
-        return News(self.name, self.birth, self.incarnation, state, self.place)
+    def _own_update(self) -> MemberUpdate:
+        state = State.LEFT if self._has_left else State.ALIVE
+        return MemberUpdate(self.name, self.process_id, self.incarnation, state, self.address)
 
-    # What comes in
+    # Input
 
     def tick(self, now: float) -> list[Effect]:
-        """Whatever is due. A tick that comes late is this process's own fault, never another's."""
-        out: list[Effect] = []
+        """Does what is due. A late tick counts against this process, not against other members."""
+        effects: list[Effect] = []
         late = now - self.due
-        if late > DIRECT:
-            self._shift(late)
-            self._fail(1)
+        if late > PROBE_TIMEOUT_MS:
+            self._extend_deadlines(late)
+            self._adjust_health(1)
         if not self._joined:
             self._joined = True
-            out += self._sync(self.others, True)
+            effects += self._send_sync(self.others, True)
         probe = self._probe
-        if probe is not None and not probe.asked and now >= self._direct_at:
-            out += self._ask_others(probe)
-        if now >= self._next_at:
-            out += self._close(now)
-            self._next_at = now + PERIOD * self.health()
+        if probe is not None and not probe.helpers and now >= self._indirect_at:
+            effects += self._probe_indirectly(probe)
+        if now >= self._next_probe_at:
+            effects += self._end_probe(now)
+            self._next_probe_at = now + PROBE_INTERVAL_MS * self.health_factor()
             self._periods += 1
-            out += self._open(now)
-            if self._periods % SYNC == 0:
-                out += self._sync(self._some(self.alive(), 1), False)
-                self._forget(now)
-        out += self._expire(now)
-        for number, (asker, theirs, until) in list(self._relayed.items()):
+            effects += self._start_probe(now)
+            if self._periods % SYNC_INTERVAL == 0:
+                effects += self._send_sync(self._sample(self.alive(), 1), False)
+                self._forget_members(now)
+        effects += self._expire_suspicions(now)
+        for number, (requester, their_number, until) in list(self._relayed.items()):
             if now >= until:
                 del self._relayed[number]
-                if (one := self.others.get(asker)) is not None:
-                    out.append(Send(asker, one.place, Nack(theirs, self._carried(asker))))
+                if (member := self.others.get(requester)) is not None:
+                    effects.append(
+                        Send(requester, member.address, Nack(their_number, self._piggyback(requester)))
+                    )
         self.due = self._due()
-        return out
+        return effects
 
-    def heard(self, now: float, sender: str, birth: int, word: Words) -> list[Effect]:
-        """A word from another; nothing in it is taken for more than a claim."""
-        out: list[Effect] = []
+    def handle_message(
+        self, now: float, sender: str, process_id: int, message: MembershipMessage
+    ) -> list[Effect]:
+        """Handles a message of another member; its content is not trusted."""
+        effects: list[Effect] = []
         if sender == self.name:
-            if birth != self.birth:
-                out.append(Twin(self.name, (min(birth, self.birth), max(birth, self.birth))))
-            return out
-        one = self._known(sender)
-        if one is None:
-            return out
-        out += self._spoke(now, one, birth)
-        for news in word.news[: CARRIED + SYNCED + 1]:
-            out += self._believe(now, news, sender)
-        match word:
+            if process_id != self.process_id:
+                effects.append(
+                    DuplicateName(
+                        self.name, (min(process_id, self.process_id), max(process_id, self.process_id))
+                    )
+                )
+            return effects
+        member = self._find_or_add(sender)
+        if member is None:
+            return effects
+        effects += self._detect_duplicate(now, member, process_id)
+        for update in message.updates[: MAX_PIGGYBACKED + MAX_SYNC_UPDATES + 1]:
+            effects += self._apply_update(now, update, sender)
+        match message:
             case Ping(number):
-                out.append(Send(sender, one.place, Ack(number, self._carried(sender), self.newest)))
-                one.newest = word.newest
+                effects.append(
+                    Send(sender, member.address, Ack(number, self._piggyback(sender), self.commit))
+                )
+                member.commit = message.commit
             case Ack(number):
-                one.newest = word.newest
-                out += self._acked(sender, number)
-            case Ask(number, target=target):
+                member.commit = message.commit
+                effects += self._handle_ack(sender, number)
+            case PingRequest(number, target=target):
                 if (other := self.others.get(target)) is not None:
-                    self._number += 1
-                    self._relayed[self._number] = sender, number, now + DIRECT
-                    out.append(Send(target, other.place, self._ping(target)))
+                    self._last_number += 1
+                    self._relayed[self._last_number] = sender, number, now + PROBE_TIMEOUT_MS
+                    effects.append(Send(target, other.address, self._ping(target)))
             case Nack(number):
                 if self._probe is not None and self._probe.number == number:
                     self._probe.nacks.add(sender)
-            case Sync() if not word.answer:
-                out += self._answer(sender, one, word)
+            case Sync() if not message.is_answer:
+                effects += self._answer_sync(sender, member, message)
         self.due = min(self.due, self._due())
-        return out
+        return effects
 
     def leave(self) -> list[Effect]:
-        """Told to everyone that is there, once, and passed on by them."""
-        self._left = True
+        """Announces once to all live members that this process leaves; they pass it on."""
+        self._has_left = True
         self.incarnation += 1
-        self._number += 1
+        self._last_number += 1
         return [
-            Send(name, self.others[name].place, Ping(self._number, (self._self(),))) for name in self.alive()
+            Send(name, self.others[name].address, Ping(self._last_number, (self._own_update(),)))
+            for name in self.alive()
         ]
 
     # Probes
 
     def _due(self) -> float:
-        times = [self._next_at, *(until for _, _, until in self._relayed.values())]
-        if self._probe is not None and not self._probe.asked:
-            times.append(self._direct_at)
-        times += [self._end(one) for one in self._suspects.values()]
+        times = [self._next_probe_at, *(until for _, _, until in self._relayed.values())]
+        if self._probe is not None and not self._probe.helpers:
+            times.append(self._indirect_at)
+        times += [self._suspicion_deadline(member) for member in self._suspects.values()]
         return min(times)
 
-    def _shift(self, late: float) -> None:
-        """It stood still: what others could not answer to it in that time is not held against them."""
-        self._next_at += late
-        self._direct_at += late
+    def _extend_deadlines(self, late: float) -> None:
+        """Extends all deadlines after a pause of this process, which could not receive answers then."""
+        self._next_probe_at += late
+        self._indirect_at += late
         self._relayed.clear()
         if self._probe is not None:
             self._probe = None
-        for one in self._suspects.values():
-            one.since += late
+        for member in self._suspects.values():
+            member.since += late
 
-    def _fail(self, by: int) -> None:
-        self.late = max(0, min(MOST_LATE, self.late + by))
+    def _adjust_health(self, by: int) -> None:
+        self.health_score = max(0, min(MAX_HEALTH_SCORE, self.health_score + by))
 
     def _ping(self, to: str) -> Ping:
-        return Ping(self._number, self._carried(to), self.newest)
+        return Ping(self._last_number, self._piggyback(to), self.commit)
 
-    def _open(self, now: float) -> list[Effect]:
-        """The next probe: who is newly suspected first, else the next of a shuffled round."""
+    def _start_probe(self, now: float) -> list[Effect]:
+        """Starts the next probe: new suspects first, else the next member in a shuffled round."""
         name = ""
-        while self._urgent and not name:
-            urgent = self._urgent.pop(0)
-            if urgent in self.others and self.others[urgent].state is State.SUSPECT:
-                name = urgent
+        while self._new_suspects and not name:
+            suspect = self._new_suspects.pop(0)
+            if suspect in self.others and self.others[suspect].state is State.SUSPECT:
+                name = suspect
         while not name:
-            if not self._turns:
-                # Listed ones that are thought dead are asked now and then: a cut may be over.
-                self._turns = self.alive()
-                gone = [one for one in self._listed if one in self.others and one not in self._turns]
-                self._turns += self._some(gone, 1)
-                self._draw.shuffle(self._turns)
-                if not self._turns:
+            if not self._probe_order:
+                # One configured member that is dead or has left is included: a partition may have healed.
+                self._probe_order = self.alive()
+                gone = [
+                    member
+                    for member in self._configured
+                    if member in self.others and member not in self._probe_order
+                ]
+                self._probe_order += self._sample(gone, 1)
+                self._random.shuffle(self._probe_order)
+                if not self._probe_order:
                     return []
-            name = self._turns.pop()
+            name = self._probe_order.pop()
             if name not in self.others:
                 name = ""
-        self._number += 1
-        one = self.others[name]
-        self._probe = _Probe(name, self._number, self.others[name].incarnation)
-        self._direct_at = now + DIRECT * self.health()
-        return [Send(name, one.place, self._ping(name))]
-
-    def _ask_others(self, probe: _Probe) -> list[Effect]:
-        helpers = self._some([name for name in self.alive() if name != probe.name], HELPERS)
-        probe.asked = set(helpers) or {probe.name}
-        ask = [
-            Send(name, self.others[name].place, Ask(probe.number, self._carried(name), probe.name))
+        self._last_number += 1
+        member = self.others[name]
+        self._probe = _Probe(name, self._last_number, self.others[name].incarnation)
+        self._indirect_at = now + PROBE_TIMEOUT_MS * self.health_factor()
+        return [Send(name, member.address, self._ping(name))]
+
+    def _probe_indirectly(self, probe: _Probe) -> list[Effect]:
+        helpers = self._sample([name for name in self.alive() if name != probe.name], INDIRECT_PROBES)
+        probe.helpers = set(helpers) or {probe.name}
+        requests = [
+            Send(
+                name, self.others[name].address, PingRequest(probe.number, self._piggyback(name), probe.name)
+            )
             for name in helpers
         ]
-        # Once more itself: one datagram lost is the likeliest cause.
-        return [*ask, Send(probe.name, self.others[probe.name].place, self._ping(probe.name))]
+        # And directly once more: a single lost datagram is the most likely cause.
+        return [*requests, Send(probe.name, self.others[probe.name].address, self._ping(probe.name))]
 
-    def _acked(self, sender: str, number: int) -> list[Effect]:
+    def _handle_ack(self, sender: str, number: int) -> list[Effect]:
         probe = self._probe
-        if probe is not None and probe.number == number and sender in (probe.name, *probe.asked):
+        if probe is not None and probe.number == number and sender in (probe.name, *probe.helpers):
             self._probe = None
-            self._fail(-1)
-            # An answer that needed help is a way that loses, and a refutation may be lost there too.
-            self._direct = 0 if probe.asked else self._direct + 1
-            if probe.asked:
-                self._lossy = min(MOST_LOSSY, self._lossy + 1)
-            elif self._direct % SOUND == 0:
-                self._lossy = max(0, self._lossy - 1)
-        if (asked := self._relayed.pop(number, None)) is not None:
-            asker, theirs, _ = asked
-            if (one := self.others.get(asker)) is not None:
-                return [Send(asker, one.place, Ack(theirs, self._carried(asker), self.newest))]
+            self._adjust_health(-1)
+            # An ack after an indirect probe indicates message loss, which can affect a refutation too.
+            self._direct_acks = 0 if probe.helpers else self._direct_acks + 1
+            if probe.helpers:
+                self._loss_score = min(MAX_LOSS_SCORE, self._loss_score + 1)
+            elif self._direct_acks % ACKS_PER_LOSS_STEP == 0:
+                self._loss_score = max(0, self._loss_score - 1)
+        if (relayed := self._relayed.pop(number, None)) is not None:
+            requester, their_number, _ = relayed
+            if (member := self.others.get(requester)) is not None:
+                return [
+                    Send(
+                        requester, member.address, Ack(their_number, self._piggyback(requester), self.commit)
+                    )
+                ]
         return []
 
-    def _close(self, now: float) -> list[Effect]:
-        """The period is over: whoever was probed and not heard is suspected."""
+    def _end_probe(self, now: float) -> list[Effect]:
+        """Ends the probe interval: suspects the probed member if it has not acknowledged."""
         probe, self._probe = self._probe, None
         if probe is None:
             return []
-        one = self.others.get(probe.name)
-        if one is None or one.state not in (State.ALIVE, State.SUSPECT):
+        member = self.others.get(probe.name)
+        if member is None or member.state not in (State.ALIVE, State.SUSPECT):
             return []
-        if one.incarnation != probe.incarnation:  # it has come back meanwhile
+        if member.incarnation != probe.incarnation:  # it has refuted or rejoined meanwhile
             return []
-        # Helpers that said nothing at all: the fault is likelier here.
-        self._fail(len(probe.asked - {probe.name}) > 0 and not probe.nacks)
-        return self._suspect(now, one, self.name)
+        # No helper answered, not even negatively: the fault is more likely local.
+        self._adjust_health(len(probe.helpers - {probe.name}) > 0 and not probe.nacks)
+        return self._suspect(now, member, self.name)
 
     # Suspicion
 
-    def _suspect(self, now: float, one: Member, by: str) -> list[Effect]:
-        first = one.state is State.ALIVE
+    def _suspect(self, now: float, member: Member, by: str) -> list[Effect]:
+        first = member.state is State.ALIVE
         if first:
-            one.state, one.since, one.by = State.SUSPECT, now, set()
-            self._suspects[one.name] = one
-        if by in one.by:
+            member.state, member.since, member.suspected_by = State.SUSPECT, now, set()
+            self._suspects[member.name] = member
+        if by in member.suspected_by:
             return []
-        one.by.add(by)
-        self._said[one.name] = 0
+        member.suspected_by.add(by)
+        self._sent_counts[member.name] = 0
         if first and by != self.name:
-            self._urgent.append(one.name)
-        return [Changed(one.name, State.SUSPECT, one.birth, f"suspected by {by}")] if first else []
-
-    def _end(self, one: Member) -> float:
-        """When the suspicion becomes death: the sooner, the more others confirm it."""
-        least = SUSPECTED * max(1.0, log10(len(self.others) + 1)) * (self.health() + self._lossy)
-        need = max(1, min(CONFIRMED, len(self.others) - 2))
-        confirmed = min(need, len(one.by) - 1)
-        part = log(confirmed + 1) / log(need + 1)
-        return one.since + least * (DOUBT - (DOUBT - 1.0) * part)
-
-    def _expire(self, now: float) -> list[Effect]:
-        out: list[Effect] = []
-        for one in list(self._suspects.values()):
-            if now >= self._end(one):
-                out += self._bury(now, one, State.DEAD, f"suspected by {', '.join(sorted(one.by))}")
-        return out
-
-    def _forget(self, now: float) -> None:
-        """Listed ones are kept: they may come back where they were."""
-        for one in list(self.others.values()):
-            gone = one.state in (State.DEAD, State.LEFT) and now - one.since > FORGET
-            if gone and one.name not in self._listed:
-                del self.others[one.name]
-
-    def _bury(self, now: float, one: Member, state: State, why: str) -> list[Effect]:
-        one.state, one.since, one.by = state, now, set()
-        self._suspects.pop(one.name, None)
-        self._said[one.name] = 0
-        return [Changed(one.name, state, one.birth, why)]
-
-    # What is believed
-
-    def _known(self, name: str) -> Member | None:
-        one = self.others.get(name)
-        if one is None and len(self.others) < MOST_MEMBERS:
-            one = self.others[name] = Member(name, self._listed.get(name, ""))
-        return one
-
-    def _spoke(self, now: float, one: Member, birth: int) -> list[Effect]:
-        """It said something itself: which process of the name that was."""
-        known = birth in one.heard
-        one.heard.setdefault(birth, now)
-        if len(one.heard) > 1 and known:
-            later, other = max((at, other) for other, at in one.heard.items() if other != birth)
-            if later > one.heard[birth] and now - later > TWINS:
-                one.heard = {birth: now}
-                return [Twin(one.name, (min(birth, other), max(birth, other)))]
-        if len(one.heard) > 4:
-            one.heard = {birth: now}
+            self._new_suspects.append(member.name)
+        return (
+            [StateChanged(member.name, State.SUSPECT, member.process_id, f"suspected by {by}")]
+            if first
+            else []
+        )
+
+    def _suspicion_deadline(self, member: Member) -> float:
+        """When the suspect is declared dead: the earlier, the more members confirm the suspicion."""
+        slowness = self.health_factor() + self._loss_score
+        minimum = MIN_SUSPICION_MS * max(1.0, log10(len(self.others) + 1)) * slowness
+        required = max(1, min(MAX_CONFIRMATIONS, len(self.others) - 2))
+        confirmed = min(required, len(member.suspected_by) - 1)
+        fraction = log(confirmed + 1) / log(required + 1)
+        return member.since + minimum * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * fraction)
+
+    def _expire_suspicions(self, now: float) -> list[Effect]:
+        effects: list[Effect] = []
+        for member in list(self._suspects.values()):
+            if now >= self._suspicion_deadline(member):
+                effects += self._mark_gone(
+                    now, member, State.DEAD, f"suspected by {', '.join(sorted(member.suspected_by))}"
+                )
+        return effects
+
+    def _forget_members(self, now: float) -> None:
+        """Forgets members that died or left long ago; configured ones are kept, as they may return."""
+        for member in list(self.others.values()):
+            gone = member.state in (State.DEAD, State.LEFT) and now - member.since > FORGET_AFTER_MS
+            if gone and member.name not in self._configured:
+                del self.others[member.name]
+
+    def _mark_gone(self, now: float, member: Member, state: State, why: str) -> list[Effect]:
+        member.state, member.since, member.suspected_by = state, now, set()
+        self._suspects.pop(member.name, None)
+        self._sent_counts[member.name] = 0
+        return [StateChanged(member.name, state, member.process_id, why)]
+
+    # Updates
+
+    def _find_or_add(self, name: str) -> Member | None:
+        member = self.others.get(name)
+        if member is None and len(self.others) < MAX_MEMBERS:
+            member = self.others[name] = Member(name, self._configured.get(name, ""))
+        return member
+
+    def _detect_duplicate(self, now: float, member: Member, process_id: int) -> list[Effect]:
+        """Records which process of the name sent a message, to detect two that run at once."""
+        known = process_id in member.first_heard
+        member.first_heard.setdefault(process_id, now)
+        if len(member.first_heard) > 1 and known:
+            latest, other = max(
+                (at, other) for other, at in member.first_heard.items() if other != process_id
+            )
+            if latest > member.first_heard[process_id] and now - latest > DUPLICATE_AFTER_MS:
+                member.first_heard = {process_id: now}
+                return [DuplicateName(member.name, (min(process_id, other), max(process_id, other)))]
+        if len(member.first_heard) > 4:
+            member.first_heard = {process_id: now}
         return []
 
-    def _believe(self, now: float, news: News, sender: str) -> list[Effect]:
-        if news.state not in list(State):
+    def _apply_update(self, now: float, update: MemberUpdate, sender: str) -> list[Effect]:
+        if update.state not in list(State):
             return []
-        if news.name == self.name:
-            return self._refute(news, sender)
-        one = self._known(news.name)
-        if one is None or (news.incarnation, news.state) < (one.incarnation, one.state):
+        if update.name == self.name:
+            return self._refute(update, sender)
+        member = self._find_or_add(update.name)
+        if member is None or (update.incarnation, update.state) < (member.incarnation, member.state):
             return []
-        if (news.incarnation, news.state) == (one.incarnation, one.state):
-            if news.state == State.SUSPECT and news.by:
-                return self._suspect(now, one, news.by)
+        if (update.incarnation, update.state) == (member.incarnation, member.state):
+            if update.state == State.SUSPECT and update.suspected_by:
+                return self._suspect(now, member, update.suspected_by)
             return []
-        born, later = news.birth != one.birth, news.incarnation > one.incarnation
-        before, one.incarnation = one.state, news.incarnation
-        if born:
-            one.before, one.birth = one.birth, news.birth
-        if news.place and news.name not in self._listed:
-            one.place = news.place
-        self._said[one.name] = 0
-        match State(news.state):
+        is_new_process = update.process_id != member.process_id
+        is_later = update.incarnation > member.incarnation
+        before, member.incarnation = member.state, update.incarnation
+        if is_new_process:
+            member.previous_process, member.process_id = member.process_id, update.process_id
+        if update.address and update.name not in self._configured:
+            member.address = update.address
+        self._sent_counts[member.name] = 0
+        match State(update.state):
             case State.ALIVE:
-                one.state, one.by = State.ALIVE, set()
-                self._suspects.pop(one.name, None)
-                if before is State.ALIVE and not born:
+                member.state, member.suspected_by = State.ALIVE, set()
+                self._suspects.pop(member.name, None)
+                if before is State.ALIVE and not is_new_process:
                     return []
-                one.since = now
-                said = "a new process" if born else "heard again"
-                return [Changed(one.name, State.ALIVE, one.birth, said)]
+                member.since = now
+                why = "a new process" if is_new_process else "alive again"
+                return [StateChanged(member.name, State.ALIVE, member.process_id, why)]
             case State.SUSPECT:
-                if before is not State.SUSPECT or later:
-                    one.state = State.ALIVE
-                return self._suspect(now, one, news.by or sender)
+                if before is not State.SUSPECT or is_later:
+                    member.state = State.ALIVE
+                return self._suspect(now, member, update.suspected_by or sender)
             case state:
-                return self._bury(now, one, state, f"told by {sender}")
+                return self._mark_gone(now, member, state, f"reported by {sender}")
 
-    def _refute(self, news: News, sender: str) -> list[Effect]:
-        """What others hold of this process: anything but alive is answered with a later incarnation."""
-        if news.birth == self.birth and news.state == State.ALIVE:
-            self.incarnation = max(self.incarnation, news.incarnation)
+    def _refute(self, update: MemberUpdate, sender: str) -> list[Effect]:
+        """Handles an update on this process itself: any state but alive is refuted by a later incarnation."""
+        if update.process_id == self.process_id and update.state == State.ALIVE:
+            self.incarnation = max(self.incarnation, update.incarnation)
             return []
-        if news.incarnation < self.incarnation or self._left:
+        if update.incarnation < self.incarnation or self._has_left:
             return []
-        self.incarnation = news.incarnation + 1
-        if news.birth == self.birth:
-            self._fail(1)  # it was slow enough to be missed
-        told = {sender, news.by, *self._some(self.alive(), HELPERS)} & self.others.keys()
-        self._number += 1
+        self.incarnation = update.incarnation + 1
+        if update.process_id == self.process_id:
+            self._adjust_health(1)  # it was too slow to answer in time
+        recipients = {
+            sender,
+            update.suspected_by,
+            *self._sample(self.alive(), INDIRECT_PROBES),
+        } & self.others.keys()
+        self._last_number += 1
         return [
-            Send(name, self.others[name].place, Ping(self._number, (self._self(),), self.newest))
-            for name in sorted(told)
+            Send(name, self.others[name].address, Ping(self._last_number, (self._own_update(),), self.commit))
+            for name in sorted(recipients)
         ]
 
-    # What is passed on
-
-    def _carried(self, to: str) -> tuple[News, ...]:
-        """News beside a word: of itself, of the other where it is suspected, then what was said least."""
-        most = SAID * ceil(log2(len(self.others) + 2))
-        news = [self._self()]
-        one = self.others.get(to)
-        if one is not None and one.state is not State.ALIVE and one.incarnation >= 0:
-            news.append(self._news(one))  # so that it can refute it
-        for name in nsmallest(CARRIED, self._said, key=self._said.get):
-            self._said[name] += 1
+    # Dissemination
+
+    def _piggyback(self, to: str) -> tuple[MemberUpdate, ...]:
+        """Updates sent along with a message: its own, the recipient's unless alive, then those least sent."""
+        limit = RETRANSMIT_FACTOR * ceil(log2(len(self.others) + 2))
+        updates = [self._own_update()]
+        member = self.others.get(to)
+        if member is not None and member.state is not State.ALIVE and member.incarnation >= 0:
+            updates.append(self._update_of(member))  # so that the recipient can refute it
+        for name in nsmallest(MAX_PIGGYBACKED, self._sent_counts, key=self._sent_counts.get):
+            self._sent_counts[name] += 1
             if name != to and name in self.others:
-                news.append(self._news(self.others[name]))
-            if self._said[name] >= most:
-                del self._said[name]
-        return tuple(news)
+                updates.append(self._update_of(self.others[name]))
+            if self._sent_counts[name] >= limit:
+                del self._sent_counts[name]
+        return tuple(updates)
 
-    def _some(self, names: Iterable, most: int) -> list:
+    def _sample(self, names: Iterable, limit: int) -> list:
         names = list(names)
-        return names if len(names) <= most else self._draw.sample(names, most)
+        return names if len(names) <= limit else self._random.sample(names, limit)
 
-    def _sync(self, names: Iterable[str], join: bool) -> list[Effect]:
-        """Some of what is known to somebody, so that news that got lost comes round all the same."""
-        self._number += 1
-        word = Sync(self._number, (self._self(),), () if join else tuple(self._digests()))
-        chosen = self._some(names, HELPERS) if join else names
-        return [Send(name, self.others[name].place, word) for name in chosen]
+    def _send_sync(self, names: Iterable[str], join: bool) -> list[Effect]:
+        """Exchanges views with other members, which repairs the loss of updates."""
+        self._last_number += 1
+        message = Sync(self._last_number, (self._own_update(),), () if join else tuple(self._digests()))
+        chosen = self._sample(names, INDIRECT_PROBES) if join else names
+        return [Send(name, self.others[name].address, message) for name in chosen]
 
     def _digests(self) -> list[int]:
-        """Of each bucket of names; the same where two hold the same of all in it."""
-        digests = [0] * BUCKETS
-        held = [(one.name, one.incarnation, one.state) for one in self.others.values()]
-        for name, incarnation, state in (*held, (self.name, self.incarnation, self._self().state)):
+        """One digest per bucket of names; equal where two views agree on all members in it."""
+        digests = [0] * DIGEST_BUCKETS
+        held = [(member.name, member.incarnation, member.state) for member in self.others.values()]
+        for name, incarnation, state in (*held, (self.name, self.incarnation, self._own_update().state)):
             if incarnation >= 0 and state != State.LEFT:
                 digests[_bucket(name)] ^= crc32(f"{name} {incarnation} {int(state)}".encode())
         return digests
 
-    def _answer(self, sender: str, one: Member, word: Sync) -> list[Effect]:
-        """A newcomer hears of everyone, some in a word; another hears of some in the buckets that differ."""
+    def _answer_sync(self, sender: str, member: Member, message: Sync) -> list[Effect]:
+        """Answers a joining member with the whole view in several messages, any other with a sample of the
+        buckets that differ."""
         known = [other for other in self.others.values() if other.incarnation >= 0]
-        if len(word.digests) == BUCKETS:
+        if len(message.digests) == DIGEST_BUCKETS:
             own = self._digests()
-            differs = {at for at in range(BUCKETS) if own[at] != word.digests[at]}
-            known = self._some((other for other in known if _bucket(other.name) in differs), SYNCED)
-        news = [self._self(), *map(self._news, known)]
-        cut = [tuple(news[at : at + SYNCED]) for at in range(0, len(news), SYNCED)]
-        return [Send(sender, one.place, Sync(word.number, part, answer=True)) for part in cut]
+            differs = {at for at in range(DIGEST_BUCKETS) if own[at] != message.digests[at]}
+            known = self._sample(
+                (other for other in known if _bucket(other.name) in differs), MAX_SYNC_UPDATES
+            )
+        updates = [self._own_update(), *map(self._update_of, known)]
+        parts = [
+            tuple(updates[at : at + MAX_SYNC_UPDATES]) for at in range(0, len(updates), MAX_SYNC_UPDATES)
+        ]
+        return [
+            Send(sender, member.address, Sync(message.number, fraction, is_answer=True)) for fraction in parts
+        ]
 
 
 def _bucket(name: str) -> int:
-    return crc32(name.encode()) % BUCKETS
+    return crc32(name.encode()) % DIGEST_BUCKETS
--- a/sableford/net/berth.py
+++ b/sableford/net/berth.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from sableford.common.serial_executor import SerialExecutor
-from sableford.fleet.seat import Seat, read_seat
+from sableford.fleet.config import FleetConfig, read_fleet_config
 from sableford.intake.scheduler_settings import SchedulerSettings, merge_settings, parse_settings
 from sableford.net import wire
 from sableford.net.limits import Limits, granted
@@ -35,7 +35,7 @@
     filed: tuple[tuple[str, int] | None, ...]  # where to listen, discovery and the console by the file alone
     keys: frozenset[str]  # every key of the file, by its path
     peers: tuple[tuple[str, int], ...] = ()  # all schedulers by position; none where they may not speak
-    fleet: Seat | None = None  # in the fleet; none where that is not switched on
+    fleet: FleetConfig | None = None  # in the fleet; none where that is not switched on
 
     def shared(self, processes: int) -> Limits:
         """What one process has of what is granted to all of them."""
@@ -167,7 +167,7 @@
         raise ValueError(f"{path}: peers: {problem}") from problem
     peers = peers if talk else ()
     try:
-        seat = read_seat(bytes(text.fleet), text.name) if fleet else None
+        seat = read_fleet_config(bytes(text.fleet), text.name) if fleet else None
     except ValueError as problem:
         raise ValueError(f"{path}: {problem}") from problem
     # In a fleet the words of the decisions go with the fleet's own, where the settings allow any.
--- a/sableford/net/cli.py
+++ b/sableford/net/cli.py
@@ -116,7 +116,7 @@
 
 def joined(*given: object) -> object:
     """The fleet's actor, which an ordinary start doesn't pay for."""
-    return import_module("sableford.fleet.actor").Fleet(*given)
+    return import_module("sableford.fleet.actor").FleetActor(*given)
 
 
 def _told(problem: ValueError) -> None:
--- a/sableford/simulation/consensus/explorer.py
+++ b/sableford/simulation/consensus/explorer.py
@@ -173,7 +173,7 @@
         )
         if at_once:
             if to in self.nodes:
-                self.apply_effects(to, self.nodes[to].heard(self.now, name, 0, message))
+                self.apply_effects(to, self.nodes[to].handle_message(self.now, name, 0, message))
         elif not isinstance(message, FetchRequest) or self._bounds.fetches:
             if isinstance(message, AppendRequest | AppendResponse):
                 # Rounds serve reads only, which are not part of the model.
@@ -221,7 +221,7 @@
     def deliver(self, at: int) -> None:
         sender, to, message = self.messages[at]
         self.messages = self.messages[:at] + self.messages[at + 1 :]
-        self.apply_effects(to, self.nodes[to].heard(self.now, sender, 0, message))
+        self.apply_effects(to, self.nodes[to].handle_message(self.now, sender, 0, message))
 
     def complete_write(self, name: str) -> None:
         (number, writes), *rest = self.pending_writes[name]
--- a/sableford/simulation/consensus/growth.py
+++ b/sableford/simulation/consensus/growth.py
@@ -13,7 +13,7 @@
 from sableford.consensus.effects import Committed, LogEvent, Persist, ProposalResult, SnapshotInstalled
 from sableford.consensus.raft_node import RaftNode, put
 from sableford.control.record_storage import RecordStorage
-from sableford.fleet.trial import Trial
+from sableford.fleet.simulation import ClusterSimulation
 
 WRITE_MS = 2.0  # ms of one write
 MESSAGE_MS = 5.0  # ms of a message, randomized from half to one and a half
@@ -54,8 +54,10 @@
         loss: float = 0.0,
     ) -> None:
         self.names, self.transport, self._make_node = list(names), transport, make_node
-        self.simulation = Trial(seed, MESSAGE_MS, loss, lambda message: len(msgspec.json.encode(message)))
-        self.simulation.seen = self._seen
+        self.simulation = ClusterSimulation(
+            seed, MESSAGE_MS, loss, lambda message: len(msgspec.json.encode(message))
+        )
+        self.simulation.on_effect = self._seen
         self.members: dict[str, Member] = {}
         self._incarnations = 0
         for name in self.names:
@@ -63,7 +65,7 @@
 
     @property
     def nodes(self) -> dict[str, RaftNode]:
-        return self.simulation.cores
+        return self.simulation.nodes
 
     def start(self, name: str, wiped: bool = False, newcomer: bool = False) -> RaftNode:
         """Starts a process of that name, new or after `kill`. `wiped`: with an emptied folder; `newcomer`: a
@@ -104,7 +106,7 @@
     def leader(self) -> RaftNode | None:
         """The leader of the newest term, if its voters are committed."""
         leads = [
-            node for name, node in self.nodes.items() if node.is_leader and name not in self.simulation.dead
+            node for name, node in self.nodes.items() if node.is_leader and name not in self.simulation.killed
         ]
         leader = max(leads, key=lambda node: node.term, default=None)
         return leader if leader is not None and leader.stable_voters() is not None else None
@@ -119,7 +121,7 @@
 
     def propose(self, name: str, data: bytes | None) -> int:
         number, effects = self.nodes[name].propose(self.simulation.now, data)
-        self.simulation.do(name, effects)
+        self.simulation.apply(name, effects)
         return number
 
     def commit(self, data: bytes, within: float = 5000.0) -> bool:
@@ -133,7 +135,7 @@
         member, node = self.members[name], self.nodes[name]
         match effect:
             case Persist():
-                self.simulation.at(
+                self.simulation.schedule(
                     self.simulation.now + WRITE_MS, name, lambda: self._complete_write(name, node, effect)
                 )
             case Committed(index):
@@ -150,14 +152,16 @@
             return
         member = self.members[name]
         if member.disk_full:
-            self.simulation.do(name, node.handle_disk_failure(self.simulation.now, "No space left on device"))
-            self.simulation.at(
-                self.simulation.now + 1000.0, name, lambda: self.simulation.do(name, node.rewrite())
+            self.simulation.apply(
+                name, node.handle_disk_failure(self.simulation.now, "No space left on device")
+            )
+            self.simulation.schedule(
+                self.simulation.now + 1000.0, name, lambda: self.simulation.apply(name, node.rewrite())
             )
             return
         member.write(member.storage.make_write(store.writes, store.number))
         member.storage.write_succeeded(store.number)
-        self.simulation.do(name, node.handle_persisted(self.simulation.now, store.number))
+        self.simulation.apply(name, node.handle_persisted(self.simulation.now, store.number))
 
 
 class Measurements(msgspec.Struct):
@@ -187,7 +191,7 @@
     wiped = next(name for name in group.names if name != leader.name)
     group.kill(wiped)
     group.run(200.0)
-    before, began = dict(group.simulation.bytes), group.simulation.now
+    before, began = dict(group.simulation.sent_bytes), group.simulation.now
     node = group.start(wiped, wiped=True)
     took = None
     while group.simulation.now - began < 60_000.0:
@@ -198,7 +202,7 @@
         if _caught_up(group, node):
             took = group.simulation.now - began
             break
-    sent = sum(group.simulation.bytes[name] - before[name] for name in group.names if name != wiped)
+    sent = sum(group.simulation.sent_bytes[name] - before[name] for name in group.names if name != wiped)
     return Measurements(changes, value_bytes, disk, entries, log, snapshot, sent, took)
 
 
--- a/sableford/simulation/consensus/walk.py
+++ b/sableford/simulation/consensus/walk.py
@@ -14,7 +14,7 @@
 from sableford.consensus.log_files import LogFiles
 from sableford.consensus.messages import Kind
 from sableford.consensus.raft_node import RaftNode, put
-from sableford.fleet.trial import Trial
+from sableford.fleet.simulation import ClusterSimulation
 
 DISK_FAULTS = ("torn", "flip", "flip_end", "lost", "older", "emptied")
 FLUSH_MS = (0.5, 30.0)  # ms of one flush, at least and at most
@@ -107,8 +107,8 @@
         self._padding = b" " * value_bytes
         self.random, self.disk_faults, self._make_node = Random(f"walk {seed}"), disk_faults, make_node
         self.seed, self.loss = seed, loss
-        self.simulation = Trial(seed, 2.0, loss)
-        self.simulation.seen = self._seen
+        self.simulation = ClusterSimulation(seed, 2.0, loss)
+        self.simulation.on_effect = self._seen
         self.voters = [f"v{at}" for at in range(voters)]
         self.names = [*self.voters, *(f"l{at}" for at in range(learners))]
         self.disks = {name: MemoryDisk() for name in self.names}
@@ -140,13 +140,13 @@
 
     def _fail(self, name: str, node: RaftNode, why: str) -> None:
         simulation = self.simulation
-        simulation.do(name, node.handle_disk_failure(simulation.now, why))
+        simulation.apply(name, node.handle_disk_failure(simulation.now, why))
 
         def again() -> None:
-            if simulation.cores[name] is node:
-                simulation.do(name, node.rewrite())
+            if simulation.nodes[name] is node:
+                simulation.apply(name, node.rewrite())
 
-        simulation.at(simulation.now + 500.0, name, again)
+        simulation.schedule(simulation.now + 500.0, name, again)
 
     def crash(self, name: str, disk_fault: str = "") -> None:
         self.events.append(f"{self.simulation.now:.0f} {name} crashes, {disk_fault or 'no disk fault'}")
@@ -184,28 +184,28 @@
                     self.faulty_voter = ""
 
     def _persist(self, name: str, number: int, writes: tuple) -> None:
-        log_file, node = self.log_files[name], self.simulation.cores[name]
+        log_file, node = self.log_files[name], self.simulation.nodes[name]
 
         def done() -> None:
-            if self.simulation.cores[name] is not node:
+            if self.simulation.nodes[name] is not node:
                 return
             try:
                 log_file.persist(writes)
             except OSError as problem:
                 self._fail(name, node, str(problem))
                 return
-            self.simulation.do(name, node.handle_persisted(self.simulation.now, number))
+            self.simulation.apply(name, node.handle_persisted(self.simulation.now, number))
 
         # One after the other, as on one worker thread.
         free = getattr(log_file, "free_at", 0.0)
         log_file.free_at = max(free, self.simulation.now) + self.random.uniform(*FLUSH_MS)
-        self.simulation.at(log_file.free_at, name, done)
+        self.simulation.schedule(log_file.free_at, name, done)
 
     # Proposals and reads
 
     def propose(self, name: str) -> None:
-        node = self.simulation.cores[name]
-        if name in self.simulation.dead or name in self.simulation.stopped:
+        node = self.simulation.nodes[name]
+        if name in self.simulation.killed or name in self.simulation.paused:
             return
         if self.random.random() < 0.3:
             number, effects = node.propose(self.simulation.now, None)
@@ -218,7 +218,7 @@
                 self.simulation.now, put(key, b"%d" % self.proposals + self._padding)
             )
             self.pending[name, number] = self.proposals, None
-        self.simulation.do(name, effects)
+        self.simulation.apply(name, effects)
 
     def _answer(self, name: str, number: int, yes: bool, index: int) -> None:
         proposal, least = self.pending.pop((name, number), (0, None))
@@ -235,38 +235,40 @@
     def step(self) -> None:
         """Causes one fault, or ends some."""
         name, simulation = self.random.choice(self.names), self.simulation
-        dead = [one for one in self.voters if one in simulation.dead]
+        dead = [one for one in self.voters if one in simulation.killed]
         kind = self.random.choice(
             ["crash", "start", "start", "stop", "go_on", "cut", "heal", "heal", "disk_fault", "fail"]
         )
-        if kind == "crash" and name not in simulation.dead and len(dead) < len(self.voters):
+        if kind == "crash" and name not in simulation.killed and len(dead) < len(self.voters):
             self.crash(name)
         elif kind == "disk_fault" and self.disk_faults and name in self.voters and self._may_fault_disk(name):
             self.crash(name, self.random.choice(self.disk_faults))
             self.start(name)
-        elif kind == "start" and name in simulation.dead:
+        elif kind == "start" and name in simulation.killed:
             self.start(name)
-        elif kind == "stop" and name not in simulation.dead and name not in simulation.stopped:
-            simulation.stop(name)
-        elif kind == "go_on" and name in simulation.stopped:
-            simulation.go_on(name)
+        elif kind == "stop" and name not in simulation.killed and name not in simulation.paused:
+            simulation.pause(name)
+        elif kind == "go_on" and name in simulation.paused:
+            simulation.resume(name)
         elif kind == "cut":
             apart, one_way = {name, self.random.choice(self.names)}, self.random.random() < 0.3
-            simulation.cut = lambda start, end: (start in apart) != (end in apart) and (
+            simulation.is_cut = lambda start, end: (start in apart) != (end in apart) and (
                 not one_way or start in apart
             )
         elif kind == "heal":
-            simulation.cut = lambda start, end: False
-        elif kind == "fail" and name not in simulation.dead:
+            simulation.is_cut = lambda start, end: False
+        elif kind == "fail" and name not in simulation.killed:
             self.disks[name].error = "" if self.disks[name].error else "No space left on device"
 
     def _may_fault_disk(self, name: str) -> bool:
         """Whether all other voters run, can be reached and vote, and no earlier disk fault is unresolved."""
         others = [one for one in self.voters if one != name]
-        up = all(one not in self.simulation.dead and one not in self.simulation.stopped for one in others)
-        sound = all(self.simulation.cores[one].standing is raft_effects.Standing.VOTING for one in others)
-        cut = any(self.simulation.cut(one, two) for one in self.voters for two in self.voters if one != two)
-        return up and sound and not cut and not self.faulty_voter and name not in self.simulation.dead
+        up = all(one not in self.simulation.killed and one not in self.simulation.paused for one in others)
+        sound = all(self.simulation.nodes[one].standing is raft_effects.Standing.VOTING for one in others)
+        cut = any(
+            self.simulation.is_cut(one, two) for one in self.voters for two in self.voters if one != two
+        )
+        return up and sound and not cut and not self.faulty_voter and name not in self.simulation.killed
 
     def run(self, steps: int) -> None:
         """Raises InvariantError if an invariant is violated or the nodes do not agree at the end."""
@@ -283,32 +285,32 @@
         self.settle()
 
     def settle(self) -> None:
-        self.simulation.cut = lambda start, end: False
+        self.simulation.is_cut = lambda start, end: False
         self.simulation.loss = 0.0
         for name in self.names:
             self.disks[name].error = ""
-            if name in self.simulation.dead:
+            if name in self.simulation.killed:
                 self.start(name)
-            elif name in self.simulation.stopped:
-                self.simulation.go_on(name)
+            elif name in self.simulation.paused:
+                self.simulation.resume(name)
         self.simulation.run(self.simulation.now + SETTLE_MS)
         before = len(self.acked)
         for name in self.names:
-            node = self.simulation.cores[name]
+            node = self.simulation.nodes[name]
             self.proposals += 1
             number, effects = node.propose(self.simulation.now, put("last", name.encode()))
             self.pending[name, number] = self.proposals, None
-            self.simulation.do(name, effects)
+            self.simulation.apply(name, effects)
         self.simulation.run(self.simulation.now + SETTLE_MS / 2.0)
         if len(self.acked) < before + len(self.names):
             raise InvariantError(
                 f"after all faults {len(self.acked) - before} of {len(self.names)} proposals were committed"
             )
-        commits = {name: self.simulation.cores[name].commit for name in self.names}
+        commits = {name: self.simulation.nodes[name].commit for name in self.names}
         if len(set(commits.values())) > 1:
             raise InvariantError(f"after all faults the commit indexes differ: {commits}")
         images = {
-            msgspec.msgpack.encode(node.state_machine.values) for node in self.simulation.cores.values()
+            msgspec.msgpack.encode(node.state_machine.values) for node in self.simulation.nodes.values()
         }
         if len(images) > 1:
             raise InvariantError("the same entries led to different values")
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -142,12 +142,12 @@
 def term_not_compared(original: Callable) -> Callable:
     """Entries of an older term, and their answers, pass for the present one's."""
 
-    def heard(self: RaftNode, now: float, sender: str, birth: int, word: Any) -> Any:
+    def handle_message(self: RaftNode, now: float, sender: str, birth: int, word: Any) -> Any:
         old = isinstance(word, AppendRequest) and word.term < self.term
         other = isinstance(word, AppendResponse) and self.is_leader
         return original(self, now, sender, birth, replace(word, term=self.term) if old or other else word)
 
-    return heard
+    return handle_message
 
 
 def answered_before_synced(original: Callable) -> Callable:
@@ -372,7 +372,7 @@
         MemberClient, "apply_update", news_of_old_term_taken, {"stale member", "went back", "drain"}, LEADERS
     ),
     "entries of an older term are taken": Mistake(
-        RaftNode, "heard", term_not_compared, LOST | {"unforeseen"}, LEADERS
+        RaftNode, "handle_message", term_not_compared, LOST | {"unforeseen"}, LEADERS
     ),
     "entries after another term's are kept": Mistake(
         RaftNode, "_handle_append_request", entry_of_another_term_kept, LOST | REPEATS | {"unforeseen"}, RACES
--- a/tests/joined.py
+++ b/tests/joined.py
@@ -281,13 +281,13 @@
         for what in ("kill", "stop", "cut"):
             trial = Walk(seed, voters=5, learners=0, loss=0.0, disk_faults=()).simulation
             trial.run(3000.0)
-            hit = next(name for name, core in trial.cores.items() if core.is_leader)
+            hit = next(name for name, core in trial.nodes.items() if core.is_leader)
             if what == "cut":
-                trial.cut = lambda start, end, hit=hit: hit in (start, end)
+                trial.is_cut = lambda start, end, hit=hit: hit in (start, end)
             else:
-                {"kill": trial.kill, "stop": trial.stop}[what](hit)
+                {"kill": trial.kill, "stop": trial.pause}[what](hit)
             begun = trial.now
-            while not any(core.is_leader for name, core in trial.cores.items() if name != hit):
+            while not any(core.is_leader for name, core in trial.nodes.items() if name != hit):
                 trial.run(trial.now + 50.0)
                 assert trial.now - begun <= REPLACED_MS, (seed, what)
 
--- a/tests/record.py
+++ b/tests/record.py
@@ -80,7 +80,7 @@
 def shows_a_leader_counts_an_earlier_terms_entry_only_with_one_of_its_own() -> None:
     walk = Walk(1, learners=0, loss=0.0, disk_faults=())
     walk.simulation.run(3000.0)
-    leader = next(node for node in walk.simulation.cores.values() if node.is_leader)
+    leader = next(node for node in walk.simulation.nodes.values() if node.is_leader)
     leader.entries.append(Entry(leader.term, Kind.NOTHING))
     leader.term += 1  # as if elected again, with an uncommitted entry of its earlier term
     for one in leader._followers.values():
--- a/tests/record_disks.py
+++ b/tests/record_disks.py
@@ -42,7 +42,7 @@
     entries = [Entry(1, Kind.PUT, "a#1", at, put("k", b"%d" % at)) for at in (1, 2, 3)]
     effects = []
     for at, entry in enumerate(entries):
-        effects += node.heard(1.0, "a", 1, AppendRequest("id", 1, at, min(at, 1), 0, 1, 0, (entry,)))
+        effects += node.handle_message(1.0, "a", 1, AppendRequest("id", 1, at, min(at, 1), 0, 1, 0, (entry,)))
     numbers = [effect.number for effect in effects if isinstance(effect, Persist)]
     effects = node.handle_disk_failure(2.0, "No space left on device")
     for number in numbers[1:]:
@@ -209,8 +209,8 @@
         while asked:
             fetch = asked.pop(0)
             if isinstance(fetch, Send) and isinstance(fetch.message, FetchRequest):
-                for answer in server.heard(now, "b", 1, fetch.message):
-                    asked += learner.heard(now, "a", 1, answer.message)
+                for answer in server.handle_message(now, "b", 1, fetch.message):
+                    asked += learner.handle_message(now, "a", 1, answer.message)
     assert learner.commit == 1 and learner.state_machine.values["k"].data == b"x" * 100_000
 
 
--- a/tests/record_growth.py
+++ b/tests/record_growth.py
@@ -55,7 +55,7 @@
     """Reads used proposal numbers, so a proposal that waited during a thousand reads counted as applied."""
     group = Group("abc")
     leader = group.wait_for_leader()
-    group.simulation.cut = lambda start, end: start == leader.name
+    group.simulation.is_cut = lambda start, end: start == leader.name
     number = group.propose(leader.name, put("k", b"1"))
     for _ in range(100):
         for _ in range(10):
@@ -63,7 +63,7 @@
         for waiting in list(leader._proposals):
             if waiting != number:
                 leader.drop(waiting)
-    group.simulation.cut = lambda start, end: False
+    group.simulation.is_cut = lambda start, end: False
     group.run(3000.0)
     assert group.members[leader.name].answers[number].accepted
     assert group.propose(leader.name, put("k", b"2")) == number + 1
@@ -103,8 +103,8 @@
             change()
         asked = [one.message for one in learner.tick(now) if isinstance(one, Send)]
         for fetch in asked[:1]:
-            for answer in server.heard(now, "b", 1, fetch):
-                learner.heard(now, "a", 1, answer.message)
+            for answer in server.handle_message(now, "b", 1, fetch):
+                learner.handle_message(now, "a", 1, answer.message)
         if learner.commit:
             return True
     return False
@@ -148,7 +148,9 @@
     entries = tuple(Entry(1, Kind.NOTHING) for _ in range(12))
     for first, prev, behind in ((14, 13, True), (13, 12, True), (12, 12, False)):
         node = voter(StoredState("id-b", 2, entries=entries))
-        effects = node.heard(1.0, "a", 1, AppendRequest("id-a", 3, prev, 2, 80, 1, 80, (), first, "id-b"))
+        effects = node.handle_message(
+            1.0, "a", 1, AppendRequest("id-a", 3, prev, 2, 80, 1, 80, (), first, "id-b")
+        )
         assert bool(fetches(effects)) is behind, first
 
 
@@ -157,15 +159,17 @@
     node = voter(StoredState("id-b", 2))
     # From a leader that does not count it as a voter.
     heartbeat = AppendRequest("id-a", 3, 80, 3, 80, 1, 80, (), 1)
-    assert fetches(node.heard(1.0, "a", 1, heartbeat)) == [FetchRequest("id-b", 0)]
-    node.heard(2.0, "a", 1, SnapshotChunk(40, 0, 90_000, b"x" * 900, 14_400))
+    assert fetches(node.handle_message(1.0, "a", 1, heartbeat)) == [FetchRequest("id-b", 0)]
+    node.handle_message(2.0, "a", 1, SnapshotChunk(40, 0, 90_000, b"x" * 900, 14_400))
     for turn in range(1, 100):
         now = 100.0 * turn
         asked = [
-            one.to for one in [*node.heard(now, "a", 1, heartbeat), *node.tick(now)] if isinstance(one, Send)
+            one.to
+            for one in [*node.handle_message(now, "a", 1, heartbeat), *node.tick(now)]
+            if isinstance(one, Send)
         ]
         for to in asked if turn > 10 else ():
-            node.heard(now, to, 1, FetchResponse(3, 1, 2, (Entry(1, 0), Entry(1, 0)), "a", 2))
+            node.handle_message(now, to, 1, FetchResponse(3, 1, 2, (Entry(1, 0), Entry(1, 0)), "a", 2))
     assert node.commit == 2 and node._fetching is None
 
 
@@ -179,8 +183,8 @@
     leader._compact(0, 0)  # no entries after it, which would be committed later
     node = group.start(late)
     effects = []
-    seen = group.simulation.seen
-    group.simulation.seen = lambda name, effect: (effects.append((name, effect)), seen(name, effect))
+    seen = group.simulation.on_effect
+    group.simulation.on_effect = lambda name, effect: (effects.append((name, effect)), seen(name, effect))
     node._handle_snapshot_chunk = lambda now, sender, message: []  # the snapshot is delayed
     assert group.run(2000.0, lambda: node.leader != "")
     number = group.propose(late, None)
@@ -204,18 +208,18 @@
     group = Group("abc")
     leader = group.wait_for_leader()
     late = next(name for name in group.names if name != leader.name)
-    group.simulation.cut = lambda start, end: late in (start, end)
+    group.simulation.is_cut = lambda start, end: late in (start, end)
     for number in range(3):
         assert group.commit(value(number, 600_000))
     group.run(1000.0)
-    before = group.simulation.bytes[leader.name]
+    before = group.simulation.sent_bytes[leader.name]
     group.run(5000.0)
     # A follower that does not respond gets only heartbeats.
-    assert group.simulation.bytes[leader.name] - before < 100_000, (
-        group.simulation.bytes[leader.name] - before
+    assert group.simulation.sent_bytes[leader.name] - before < 100_000, (
+        group.simulation.sent_bytes[leader.name] - before
     )
     assert leader.first <= group.nodes[late].last + 1  # the leader's log still holds all that it lacks
-    group.simulation.cut = lambda start, end: False
+    group.simulation.is_cut = lambda start, end: False
     most = 0
     for _ in range(400):
         group.run(5.0)
@@ -280,5 +284,5 @@
     for seed in range(300, 316):
         walk = Walk(seed, voters=3 if seed % 3 else 5, value_bytes=12_000)
         walk.run(30)
-        snapshots += sum(node.snapshot is not None for node in walk.simulation.cores.values())
+        snapshots += sum(node.snapshot is not None for node in walk.simulation.nodes.values())
     assert snapshots > 20, snapshots
--- a/tests/record_leases.py
+++ b/tests/record_leases.py
@@ -25,7 +25,7 @@
         super()._seen(name, effect)
         match effect:
             case LogEvent("record_leader", fields) if fields["leader"] == name:
-                node = self.simulation.cores[name]
+                node = self.simulation.nodes[name]
                 self.assumed_until[node.term] = node.earlier_leader_until + QUORUM_FRESH_MS
         self._record_grants()
 
@@ -38,23 +38,23 @@
         """Mostly the leader crashes, resigns or is cut off from one other node."""
         leaders = [
             name
-            for name, node in self.simulation.cores.items()
-            if node.is_leader and name not in self.simulation.dead
+            for name, node in self.simulation.nodes.items()
+            if node.is_leader and name not in self.simulation.killed
         ]
         kind = self.random.random()
         if leaders and kind < 0.25:
             self.crash(leaders[0])
         elif leaders and kind < 0.5:
             pair = {leaders[0], self.random.choice(self.voters)}
-            self.simulation.cut = lambda start, end: start != end and {start, end} == pair
+            self.simulation.is_cut = lambda start, end: start != end and {start, end} == pair
         elif leaders and kind < 0.6:
-            self.simulation.do(leaders[0], self.simulation.cores[leaders[0]].resign(self.simulation.now))
+            self.simulation.apply(leaders[0], self.simulation.nodes[leaders[0]].resign(self.simulation.now))
         else:
             super().step()
 
     def _record_grants(self) -> None:
-        for name, node in self.simulation.cores.items():
-            running = name not in self.simulation.dead and name not in self.simulation.stopped
+        for name, node in self.simulation.nodes.items():
+            running = name not in self.simulation.killed and name not in self.simulation.paused
             if running and node.has_recent_quorum(self.simulation.now, QUORUM_FRESH_MS):
                 self.last_grant[node.term] = self.simulation.now
         for term, until in self.assumed_until.items():
--- a/tests/record_voters.py
+++ b/tests/record_voters.py
@@ -16,7 +16,7 @@
 def tolerated_failures(leader: RaftNode, group: Group) -> int:
     """How many more failures the voters tolerate: running voters less a majority."""
     voters = leader.voters()
-    live = [name for name in voters if name not in group.simulation.dead]
+    live = [name for name in voters if name not in group.simulation.killed]
     return len(live) - (len(voters) // 2 + 1)
 
 
@@ -86,8 +86,9 @@
         assert group.commit(put(f"k{number}", b"v"))
     leader.wanted_voters = ("a", "b", "c", "d")
     for have, joins in ((0, False), (leader.commit - 1, False), (leader.commit, True)):
-        group.simulation.do(
-            leader.name, leader.heard(group.simulation.now, "d", 1, FetchRequest("folder of d", have))
+        group.simulation.apply(
+            leader.name,
+            leader.handle_message(group.simulation.now, "d", 1, FetchRequest("folder of d", have)),
         )
         group.run(250.0)
         assert ("d" in leader.voters()) is joins, have
@@ -103,7 +104,7 @@
     for number in range(6):
         fetch = FetchRequest("folder of d", has)
         has = leader.commit
-        group.simulation.do(leader.name, leader.heard(group.simulation.now, "d", 1, fetch))
+        group.simulation.apply(leader.name, leader.handle_message(group.simulation.now, "d", 1, fetch))
         for more in range(3):
             assert group.commit(put(f"k{number}-{more}", b"v"))
         group.run(100.0)
@@ -146,7 +147,7 @@
     node = group.start(gone)
     last = node.last
     assert node.standing is Standing.LEARNER and last > 0
-    group.simulation.do(gone, node.heard(group.simulation.now, "d", 1, FetchResponse(0, 1, 0)))
+    group.simulation.apply(gone, node.handle_message(group.simulation.now, "d", 1, FetchResponse(0, 1, 0)))
     for _ in range(400):
         group.run(5.0)
         assert node.standing is Standing.LEARNER and node.last >= last
@@ -186,15 +187,15 @@
     group.set_wanted_voters(sorted({leader.name, gone, "d"}))
     assert group.run(5000.0, lambda: set(leader.voters()) == {leader.name, gone, "d"})
     assert group.run(5000.0, lambda: asleep not in group.nodes[asleep].voters())
-    group.simulation.stop(asleep)
+    group.simulation.pause(asleep)
     group.kill(gone)
     group.set_wanted_voters(sorted({leader.name, "d", "e"}))
     assert group.run(5000.0, lambda: set(leader.voters()) == {leader.name, "d", "e"})
     assert group.commit(value(1)) and group.run(500.0, lambda: is_caught_up(group, group.nodes["e"]))
     group.kill("e")
     # The leader can't tell it the voters.
-    group.simulation.cut = lambda start, end: leader.name in (start, end)
-    group.simulation.go_on(asleep)
+    group.simulation.is_cut = lambda start, end: leader.name in (start, end)
+    group.simulation.resume(asleep)
     id = group.nodes["e"].id
     node = group.start("e")
     group.run(3000.0)
@@ -208,8 +209,8 @@
     group = Group("abc")
     leader = group.wait_for_leader()
     assert group.commit(value(0))
-    seen, stores = group.simulation.seen, []
-    group.simulation.seen = lambda name, effect: (
+    seen, stores = group.simulation.on_effect, []
+    group.simulation.on_effect = lambda name, effect: (
         stores.append(effect) if isinstance(effect, Persist) else None,
         seen(name, effect),
     )
@@ -230,14 +231,14 @@
     def step(self) -> None:
         if self.random.random() < 0.4:
             wanted = tuple(self.random.sample(self.names, len(self.voters)))
-            for node in self.simulation.cores.values():
+            for node in self.simulation.nodes.values():
                 node.wanted_voters = wanted
         super().step()
 
     def start(self, name: str) -> None:
         super().start(name)
-        self.simulation.cores[name].known_members = tuple(self.names)
-        self.simulation.cores[name].wanted_voters = next(iter(self.simulation.cores.values())).wanted_voters
+        self.simulation.nodes[name].known_members = tuple(self.names)
+        self.simulation.nodes[name].wanted_voters = next(iter(self.simulation.nodes.values())).wanted_voters
 
 
 class ChangesBeforeCommit(RaftNode):
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -456,7 +456,7 @@
             words, self.words = self.words, []
             for sender, to, word in words:
                 if not {sender, to} & self.deaf:
-                    self.do(to, self.all[to].heard(self.now, sender, 1, word))
+                    self.do(to, self.all[to].handle_message(self.now, sender, 1, word))
             for name, record in self.all.items():
                 record.known_members = tuple(self.all)
                 if self.now >= record.due and name not in self.deaf:
