--- a/sableford/simulation/control/__init__.py
+++ b/sableford/simulation/control/__init__.py
@@ -1,3 +1,4 @@
-"""The whole control side in simulated time: stores, edges, operators and workers, played on one deterministic
-event loop with a simulated network and disks, while judges that stand outside watch what callers were told.
+"""Deterministic simulation of the control plane: stores, edges, operators and workers run on one event loop
+in virtual time, with a simulated network and simulated disks. An invariant checker compares the responses
+that callers get with the guarantees of the control plane.
 """
--- a/sableford/simulation/control/disk.py
+++ b/sableford/simulation/control/disk.py
@@ -1,5 +1,5 @@
-"""A machine's disk: keeps what was synced; a loss of power takes the rest. It can be slow, stalled, full or
-wiped. The interface is that of `sableford.common.disk.Disk`."""
+"""The disk of a simulated machine: it keeps what was synced and loses the rest with the power. It can be
+slow, stalled, full or wiped. The interface is that of `sableford.common.disk.Disk`."""
 
 import asyncio
 from collections import deque
@@ -9,82 +9,83 @@
 from sableford.common.disk import DiskFullError
 from sableford.simulation.control.event_loop import Process
 
-SYNC_MS = 2.0  # for one synced commit, give or take half
-Puts = list[tuple[bytes, bytes | None]]
+SYNC_MS = 2.0  # for one synced commit, plus or minus 50 %
+Writes = list[tuple[bytes, bytes | None]]
 
 
-class Platter:
-    """What lasts: it belongs to the machine and outlives its processes."""
+class DiskDevice:
+    """The durable contents and the condition of a disk. It belongs to the machine and outlives its
+    processes."""
 
-    def __init__(self, chance: Random, later: Callable) -> None:
-        self.chance, self.later = chance, later
-        self.kept: dict[bytes, bytes] = {}
-        self.slowness = 1.0  # times the usual length of a sync
+    def __init__(self, rng: Random, later: Callable) -> None:
+        self.rng, self.later = rng, later
+        self.data: dict[bytes, bytes] = {}
+        self.slowness = 1.0  # factor on the duration of a sync
         self.stalled = False
         self.full = False
 
     def size(self) -> int:
-        """Bytes kept."""
-        return sum(len(key) + len(value) for key, value in self.kept.items())
+        """Bytes stored."""
+        return sum(len(key) + len(value) for key, value in self.data.items())
 
-    def commit(self, batch: Iterable[Puts]) -> None:
-        for puts in batch:
-            for key, value in puts:
+    def commit(self, batch: Iterable[Writes]) -> None:
+        for writes in batch:
+            for key, value in writes:
                 if value is None:
-                    self.kept.pop(key, None)
+                    self.data.pop(key, None)
                 else:
-                    self.kept[key] = value
+                    self.data[key] = value
 
 
 class SimulatedDisk:
-    """A process's handle of it: writes gather and are committed together, one commit at a time."""
+    """The handle of one process: writes are batched, and one batch is committed at a time."""
 
-    def __init__(self, platter: Platter, process: Process) -> None:
-        self._platter, self._process = platter, process
-        self._queue: deque[tuple[Puts, asyncio.Future]] = deque()
-        self._under_way: list[tuple[Puts, asyncio.Future]] = []
-        self._over = False
+    def __init__(self, device: DiskDevice, process: Process) -> None:
+        self._device, self._process = device, process
+        self._queue: deque[tuple[Writes, asyncio.Future]] = deque()
+        self._committing: list[tuple[Writes, asyncio.Future]] = []
+        self._ended = False
 
     def load(self, prefix: bytes) -> list[tuple[bytes, bytes]]:
-        return [(key, value) for key, value in sorted(self._platter.kept.items()) if key.startswith(prefix)]
+        return [(key, value) for key, value in sorted(self._device.data.items()) if key.startswith(prefix)]
 
-    def write(self, puts: Puts, adds_data: bool = False) -> asyncio.Future:
+    def write(self, writes: Writes, adds_data: bool = False) -> asyncio.Future:
         future = asyncio.get_running_loop().create_future()
-        self._queue.append((list(puts), future))
-        if not self._under_way:
-            self._begin()
+        self._queue.append((list(writes), future))
+        if not self._committing:
+            self._begin_commit()
         return future
 
-    def _begin(self) -> None:
-        self._under_way, self._queue = list(self._queue), deque()
-        took_ms = SYNC_MS * self._platter.chance.uniform(0.5, 1.5) * self._platter.slowness
-        self._platter.later(took_ms / 1000.0, self._finish)
+    def _begin_commit(self) -> None:
+        self._committing, self._queue = list(self._queue), deque()
+        sync_ms = SYNC_MS * self._device.rng.uniform(0.5, 1.5) * self._device.slowness
+        self._device.later(sync_ms / 1000.0, self._finish_commit)
 
-    def _finish(self) -> None:
-        if self._over:
+    def _finish_commit(self) -> None:
+        if self._ended:
             return
-        if self._platter.stalled:
-            self._platter.later(0.05, self._finish)
+        if self._device.stalled:
+            self._device.later(0.05, self._finish_commit)
             return
-        problem = DiskFullError("the disk's file is full") if self._platter.full else None
-        if problem is None:
-            self._platter.commit(puts for puts, _ in self._under_way)
-        for _, future in self._under_way:
+        error = DiskFullError("the disk's file is full") if self._device.full else None
+        if error is None:
+            self._device.commit(writes for writes, _ in self._committing)
+        for _, future in self._committing:
             if future.done():
                 continue
-            if problem is None:
+            if error is None:
                 future.set_result(True)
             else:
-                future.set_exception(problem)
-        self._under_way = []
+                future.set_exception(error)
+        self._committing = []
         if self._queue:
-            self._begin()
+            self._begin_commit()
 
     def end(self) -> None:
-        """The process is over. A commit under way is there whole or not at all, as lmdb promises; what waited
-        behind it was never begun."""
-        if self._under_way and not self._platter.full and self._platter.chance.random() < 0.5:
-            self._platter.commit(puts for puts, _ in self._under_way)
-        self._over = True
-        self._under_way = []
+        """The process has ended. A commit in flight is either complete or absent, as lmdb guarantees; queued
+        writes are lost."""
+        if self._committing and not self._device.full and self._device.rng.random() < 0.5:
+            self._device.commit(writes for writes, _ in self._committing)
+        self._ended = True
+        self._committing = []
         self._queue.clear()
--- a/sableford/simulation/control/event_loop.py
+++ b/sableford/simulation/control/event_loop.py
@@ -1,7 +1,7 @@
-"""An asyncio event loop in virtual time: no sockets, no threads, the same run for the same inputs.
+"""A deterministic asyncio event loop in virtual time, without sockets or threads.
 
-Each callback belongs to the process whose context it was scheduled in. Those of a frozen process wait until
-it is thawed, those of a dead one never run.
+Each callback belongs to the process in whose context it was scheduled. Callbacks of a frozen process are
+deferred until it is thawed; those of a dead process never run.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from enum import Enum
 from typing import Any
 
-START_S = 1000.0  # where the steady clock begins: any number far from zero
+START_S = 1000.0  # initial value of the monotonic clock: any number far from zero
 
 
-class Run(Enum):
-    """What the scheduler of a machine does with a process."""
+class ProcessState(Enum):
+    """Whether the callbacks of a process run, are deferred or are dropped."""
 
     RUNNING = "running"
     FROZEN = "frozen"
@@ -25,12 +25,12 @@
 
 
 class Process:
-    """One life of a program: the context that its callbacks run in, and whether they run."""
+    """One incarnation of a program: the context and the state that its callbacks run in."""
 
     def __init__(self, host: str) -> None:
         self.host = host
-        self.state = Run.RUNNING
-        self.held: deque[asyncio.Handle] = deque()
+        self.state = ProcessState.RUNNING
+        self.deferred: deque[asyncio.Handle] = deque()
         self.context = copy_context()
         self.context.run(PROCESS.set, self)
 
@@ -39,8 +39,8 @@
 
 
 class SimulatedLoop(asyncio.AbstractEventLoop):
-    """`run_until(time_s)` plays all callbacks due until then. `on_error(process, problem)` gets what they
-    raise; `connect` and `listen` are the network's."""
+    """`run_until(time_s)` runs all callbacks that are due until then. `on_error(process, error)` gets the
+    exceptions that they raise. `connect` and `listen` are set by the simulated network."""
 
     def __init__(self, on_error: Callable[[Process | None, BaseException], None]) -> None:
         self._now = START_S
@@ -78,10 +78,10 @@
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """Cancelled timers are passed over when they come up."""
+        """Cancelled timers are skipped when they are due."""
 
     def run_until(self, until_s: float) -> None:
-        """All that is due until then, in order of time."""
+        """Runs all callbacks that are due until then, in order of time."""
         asyncio._set_running_loop(self)
         try:
             while not self._stopped:
@@ -100,48 +100,48 @@
         if handle._cancelled:
             return
         process = handle._context.get(PROCESS)
-        if process is not None and process.state is not Run.RUNNING:
-            if process.state is Run.FROZEN:
-                process.held.append(handle)
+        if process is not None and process.state is not ProcessState.RUNNING:
+            if process.state is ProcessState.FROZEN:
+                process.deferred.append(handle)
             return
         try:
             handle._context.run(handle._callback, *handle._args)
-        except Exception as problem:
-            self._on_error(process, problem)
+        except Exception as error:
+            self._on_error(process, error)
 
     def thaw(self, process: Process) -> None:
-        """What became due while it stood still is due now."""
-        process.state = Run.RUNNING
-        self._ready.extend(process.held)
-        process.held.clear()
+        """Resumes a process: callbacks that came due while it was frozen run now."""
+        process.state = ProcessState.RUNNING
+        self._ready.extend(process.deferred)
+        process.deferred.clear()
 
-    # What asyncio asks of a loop
+    # Interface of asyncio event loops
 
     def create_future(self) -> asyncio.Future:
         return asyncio.Future(loop=self)
 
-    def create_task(self, work: Coroutine, *, name: str | None = None, context: Context | None = None):
-        task = asyncio.Task(work, loop=self, name=name, context=context)
+    def create_task(self, coroutine: Coroutine, *, name: str | None = None, context: Context | None = None):
+        task = asyncio.Task(coroutine, loop=self, name=name, context=context)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def create_connection(self, factory: Callable, host: str, port: int, **given: Any) -> tuple:
+    async def create_connection(self, factory: Callable, host: str, port: int, **options: Any) -> tuple:
         return await self.connect(PROCESS.get(), factory, host, port)
 
-    async def create_server(self, factory: Callable, host: str, port: int, **given: Any) -> None:
+    async def create_server(self, factory: Callable, host: str, port: int, **options: Any) -> None:
         self.listen(PROCESS.get(), factory, host, port)
 
     def add_signal_handler(self, sign: int, callback: Callable, *args: Any) -> None:
-        """Signals are calls of the process's own methods here."""
+        """The simulation calls the handler's method instead of sending a signal."""
 
     def set_exception_handler(self, handler: Callable | None) -> None:
         """Exceptions go to `on_error`."""
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        problem = context.get("exception")
-        if problem is not None and not self._stopped:
-            self._on_error(PROCESS.get(), problem)
+        error = context.get("exception")
+        if error is not None and not self._stopped:
+            self._on_error(PROCESS.get(), error)
 
     def get_debug(self) -> bool:
         return False
@@ -156,7 +156,7 @@
         return self._stopped
 
     def close(self) -> None:
-        """Tasks that are under way end without a word: their processes are over."""
+        """Drops pending tasks without a warning: their processes have ended."""
         self._stopped = True
         self._ready.clear()
         self._timers.clear()
--- a/sableford/simulation/control/platform.py
+++ b/sableford/simulation/control/platform.py
@@ -1,13 +1,13 @@
-"""The platform of a walk, written from the users' page (`duties/LATER.md`): it takes usage reports over HTTP,
-is down, slow or loses answers as faults want it, and judges what it sees.
+"""The simulated platform, as specified in `duties/LATER.md`: it accepts usage reports over HTTP, can be busy,
+slow, silent or lossy, and checks the calls that it gets.
 
     rule       broken by
-    contents   two accepted reports of one window whose counts differ
-    token      one token sent by two holders, or two lives of one
-    A, B, A    holders that act within `leaseMs` in that order; a refused call breaks nothing
-    late       a call under a token that was followed long ago: its sender's lease is over
-    refused    a call under a token that its sender was answered 409 for
-    too many   a report with more than was counted
+    contents   two accepted reports of one window with different counts
+    token      a fencing token sent by two holders, or by two incarnations of one
+    A, B, A    holders that act in this order within `leaseMs`; a call that is refused breaks no rule
+    late       a call under a token that was superseded long ago: its sender's lease has expired
+    refused    a call under a token for which its sender has already been answered 409
+    too many   a report with higher counts than the deliveries that were counted
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 from sableford.simulation.control.network import Endpoint, Network
 
 HOST, PORT = "10.200.0.1", 8346
-LATE_MS = 2000.0  # a connection that gets no acknowledgement lasts a little less
-RESENT_MS = 500.0  # after a refusal: what was under way by then had not heard of it
-SLOW_S = 0.5, 4.0
-PLAIN_S = 0.001, 0.04
+LATE_MS = 2000.0  # a connection without acknowledgements times out slightly earlier
+RESEND_GRACE_MS = 500.0  # calls already in flight when the sender got the 409 are allowed
+SLOW_RESPONSE_S = 0.5, 4.0
+NORMAL_RESPONSE_S = 0.001, 0.04
 STATUS_LINES = {
     200: b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     409: b"HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n",
@@ -33,98 +33,104 @@
 
 
 class Platform:
-    """`found(judge, text)` gets what is broken, `tell` and `count` what happened."""
+    """Reports violations, events and counts to the checker."""
 
-    def __init__(self, network: Network, chance: Random, lease_ms: float, judges: Any) -> None:
-        self.network, self._chance, self._lease_ms, self._judges = network, chance, lease_ms, judges
-        self.mood = "up"  # or slow, busy, silent, lossy
+    def __init__(self, network: Network, rng: Random, lease_ms: float, checker: Any) -> None:
+        self.network, self._rng, self._lease_ms, self._checker = network, rng, lease_ms, checker
+        self.mode = "up"  # or slow, busy, silent, lossy
         self.accepted: dict[int, dict[str, int]] = {}
         self.accepted_at: dict[int, float] = {}
-        self.counted: dict[int, dict[str, int]] = {}  # what stores counted, told by them as they do
-        self.ran: dict[int, dict[str, int]] = {}  # of these, what is not known not to have run
-        self._lives: dict[Process, int] = {}
+        self.counted: dict[
+            int, dict[str, int]
+        ] = {}  # deliveries that stores counted, reported as they count them
+        self.ran: dict[int, dict[str, int]] = {}  # those of them that are not known not to have run
+        self._incarnations: dict[Process, int] = {}
         self._highest, self._highest_since = 0, 0.0
         self._senders: dict[int, str] = {}  # by token
         self._refused: dict[tuple[str, int], float] = {}
-        self._acts: list[tuple[float, str]] = []  # of those that were not refused: when, and whose
+        self._recent_calls: list[tuple[float, str]] = []  # calls that were not refused: time and holder
         network.powered.add(HOST)
         process = Process(HOST)
         process.context.run(network.loop.listen, process, lambda: _Connection(self), HOST, PORT)
 
-    def taken(self, life: str, holder: str, token: int, body: bytes) -> int:
-        """A whole call has come; the status of its answer."""
-        now = self._judges.now()
-        if self.mood == "busy":
+    def receive_report(self, incarnation: str, holder: str, token: int, body: bytes) -> int:
+        """Handles a complete call and returns the status of its response."""
+        now = self._checker.now()
+        if self.mode == "busy":
             return 503
-        self._judges.tell("platform_call", holder=holder, token=token, body=body.decode())
-        if self._senders.setdefault(token, life) != life:
-            self._judges.found("token", f"{token} was sent by {self._senders[token]} and by {life}")
-        if now - self._refused.get((life, token), now) > RESENT_MS:
-            self._judges.found("refused", f"{life} calls under {token} again")
+        self._checker.record_event("platform_call", holder=holder, token=token, body=body.decode())
+        if self._senders.setdefault(token, incarnation) != incarnation:
+            self._checker.report_violation(
+                "token", f"{token} was sent by {self._senders[token]} and by {incarnation}"
+            )
+        if now - self._refused.get((incarnation, token), now) > RESEND_GRACE_MS:
+            self._checker.report_violation("refused", f"{incarnation} calls under {token} again")
         if token < self._highest:
-            self._refused.setdefault((life, token), now)
-            self._judges.count("usage 409")
+            self._refused.setdefault((incarnation, token), now)
+            self._checker.count("usage 409")
             if now - self._highest_since > LATE_MS:
-                self._judges.found("late", f"{life} calls under {token}, followed by {self._highest}")
+                self._checker.report_violation(
+                    "late", f"{incarnation} calls under {token}, followed by {self._highest}"
+                )
             return 409
         if token > self._highest:
             self._highest, self._highest_since = token, now
-        self._act(now, holder)
+        self._check_alternation(now, holder)
         report = orjson.loads(body)
-        self._report(now, report["windowNo"], report["serverCounts"])
+        self._check_report(now, report["windowNo"], report["serverCounts"])
         return 200
 
-    def _act(self, now: float, holder: str) -> None:
-        self._acts = [one for one in self._acts if now - one[0] <= self._lease_ms]
-        earlier = [place for place, one in enumerate(self._acts) if one[1] == holder]
-        if earlier and any(one[1] != holder for one in self._acts[earlier[0] :]):
-            order = [name for _, name in self._acts] + [holder]
-            self._judges.found("A, B, A", f"within {self._lease_ms:.0f} ms: {order}")
-        self._acts.append((now, holder))
+    def _check_alternation(self, now: float, holder: str) -> None:
+        self._recent_calls = [one for one in self._recent_calls if now - one[0] <= self._lease_ms]
+        earlier = [at for at, one in enumerate(self._recent_calls) if one[1] == holder]
+        if earlier and any(one[1] != holder for one in self._recent_calls[earlier[0] :]):
+            order = [name for _, name in self._recent_calls] + [holder]
+            self._checker.report_violation("A, B, A", f"within {self._lease_ms:.0f} ms: {order}")
+        self._recent_calls.append((now, holder))
 
-    def _report(self, now: float, window: int, counts: dict[str, int]) -> None:
+    def _check_report(self, now: float, window: int, counts: dict[str, int]) -> None:
         before = self.accepted.setdefault(window, counts)
         self.accepted_at.setdefault(window, now)
-        self._judges.count("usage 200" if before is counts else "usage repeated")
+        self._checker.count("usage 200" if before is counts else "usage repeated")
         if before != counts:
-            self._judges.found("contents", f"window {window}: {before}, then {counts}")
-        most = self.counted.get(window, {})
-        if any(count > most.get(tenant, 0) for tenant, count in counts.items()):
-            self._judges.found("too many", f"window {window}: {counts} of {most}")
-
-    def answer_after(self) -> float | None:
-        """Seconds until a call's answer leaves; None for an answer that is lost."""
-        if self.mood == "lossy" and self._chance.random() < 0.5:
+            self._checker.report_violation("contents", f"window {window}: {before}, then {counts}")
+        counted = self.counted.get(window, {})
+        if any(count > counted.get(tenant, 0) for tenant, count in counts.items()):
+            self._checker.report_violation("too many", f"window {window}: {counts} of {counted}")
+
+    def response_delay(self) -> float | None:
+        """Returns the seconds until the response is sent, or None if it is lost."""
+        if self.mode == "lossy" and self._rng.random() < 0.5:
             return None
-        return self._chance.uniform(*(SLOW_S if self.mood == "slow" else PLAIN_S))
+        return self._rng.uniform(*(SLOW_RESPONSE_S if self.mode == "slow" else NORMAL_RESPONSE_S))
 
-    def began(self, window: int, tenant: str) -> None:
-        """A delivery began at some store."""
+    def delivery_started(self, window: int, tenant: str) -> None:
+        """A store started a delivery."""
         for table in (self.counted, self.ran):
             counts = table.setdefault(window, {})
             counts[tenant] = counts.get(tenant, 0) + 1
 
-    def did_not_run(self, window: int, tenant: str) -> None:
-        """One turned out not to have run."""
+    def delivery_not_run(self, window: int, tenant: str) -> None:
+        """A delivery turned out not to have run."""
         self.ran[window][tenant] -= 1
 
-    def life(self, holder: str, process: Process) -> str:
-        """One life of a process that calls."""
-        return f"{holder}#{self._lives.setdefault(process, len(self._lives))}"
+    def incarnation(self, holder: str, process: Process) -> str:
+        """Returns a name for this incarnation of a calling process."""
+        return f"{holder}#{self._incarnations.setdefault(process, len(self._incarnations))}"
 
-    def check(self, first: int, last: int) -> None:
-        """All windows of a quiet time are accepted, with all that ran."""
+    def check_windows(self, first: int, last: int) -> None:
+        """Checks that all windows of a period without faults were accepted, with all deliveries that ran."""
         for window in range(first, last + 1):
             ran = {tenant: count for tenant, count in self.ran.get(window, {}).items() if count}
             if window not in self.accepted:
-                self._judges.found("missing", f"window {window} of {first} to {last}")
+                self._checker.report_violation("missing", f"window {window} of {first} to {last}")
             elif self.accepted[window] != ran:
-                self._judges.found("off", f"window {window}: {self.accepted[window]} of {ran}")
-            self._judges.count("usage window checked")
+                self._checker.report_violation("off", f"window {window}: {self.accepted[window]} of {ran}")
+            self._checker.count("usage window checked")
 
 
 class _Connection(asyncio.Protocol):
-    """One caller; one call at a time on it."""
+    """A connection of one caller, with one call at a time."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
@@ -135,7 +141,7 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if self._platform.mood == "silent" or self._transport is None:
+        if self._platform.mode == "silent" or self._transport is None:
             return
         self._data += data
         head, end, body = self._data.partition(b"\r\n\r\n")
@@ -143,37 +149,35 @@
         if not end or len(body) < int(headers["Content-Length"]):
             return
         self._data = b""
-        assert self._transport.peer is not None, "nobody called"
+        assert self._transport.peer is not None, "the connection has no peer"
         holder = headers["Duty-Holder"]
-        life = self._platform.life(holder, self._transport.peer.process)
-        status = self._platform.taken(life, holder, int(headers["Fence-Token"]), body)
-        after_s = self._platform.answer_after()
+        incarnation = self._platform.incarnation(holder, self._transport.peer.process)
+        status = self._platform.receive_report(incarnation, holder, int(headers["Fence-Token"]), body)
+        after_s = self._platform.response_delay()
         if after_s is not None:
             self._platform.network.later(after_s, self._transport.write, STATUS_LINES[status])
 
 
 class Traffic:
-    """Deliveries of one store, as its counts see them: some turn out not to have run."""
+    """Generates the deliveries that one store counts; some turn out not to have run."""
 
-    def __init__(
-        self, platform: Platform, usage: Any, chance: Random, is_serving: Callable[[], bool]
-    ) -> None:
-        self._platform, self._usage, self._chance, self._is_serving = platform, usage, chance, is_serving
+    def __init__(self, platform: Platform, usage: Any, rng: Random, is_serving: Callable[[], bool]) -> None:
+        self._platform, self._usage, self._rng, self._is_serving = platform, usage, rng, is_serving
 
     async def run(self) -> None:
-        """For the life of the process."""
+        """Runs until the process ends."""
         while True:
-            await asyncio.sleep(self._chance.expovariate(20.0))
+            await asyncio.sleep(self._rng.expovariate(20.0))
             if self._is_serving():
-                self._deliver(self._chance.choice("abbccc"))
+                self._deliver(self._rng.choice("abbccc"))
 
     def _deliver(self, tenant: str) -> None:
         window = self._usage.began(tenant)
-        self._platform.began(window, tenant)
-        if self._chance.random() < 0.1:
+        self._platform.delivery_started(window, tenant)
+        if self._rng.random() < 0.1:
             loop = asyncio.get_running_loop()
-            loop.call_later(self._chance.uniform(0.002, 0.3), self._take_back, tenant, window)
+            loop.call_later(self._rng.uniform(0.002, 0.3), self._withdraw, tenant, window)
 
-    def _take_back(self, tenant: str, window: int) -> None:
+    def _withdraw(self, tenant: str, window: int) -> None:
         self._usage.took_back(tenant, window)
-        self._platform.did_not_run(window, tenant)
+        self._platform.delivery_not_run(window, tenant)
--- a/tests/control_incidents.py
+++ b/tests/control_incidents.py
@@ -14,10 +14,10 @@
 from sableford.control.orders import State
 from sableford.control.service import ControlService
 from sableford.control.timing import QUORUM_FRESH_MS
-from sableford.simulation.control.cluster import Machine, surroundings
-from sableford.simulation.control.judges import Order
-from sableford.simulation.control.operators import canonical, document
-from sableford.simulation.control.walk import ControlSimulation, Shape
+from sableford.simulation.control.checker import Order
+from sableford.simulation.control.clients import canonical, document
+from sableford.simulation.control.cluster import Machine, patched_environment
+from sableford.simulation.control.simulation import ControlSimulation, SimulationConfig
 from sableford.transport.http import HttpResponse
 
 CUT_S = 20.0
@@ -28,17 +28,17 @@
     """Three stores and an edge, come together; then a scene, without other callers or faults."""
 
     def __init__(self, seed: int) -> None:
-        super().__init__(seed, Shape(stores=3, losses=1, edges=1, operators=0, workers=0))
+        super().__init__(seed, SimulationConfig(stores=3, losses=1, edges=1, operators=0, workers=0))
         self.revision, self._sent = 0, 0
 
     def run(self, scene: Callable[["Incident"], Coroutine]) -> None:
         try:
-            with surroundings(Random(f"entropy {self.seed}"), self.loop, self.judges):
+            with patched_environment(Random(f"entropy {self.seed}"), self.loop, self.checker):
                 self._play_scene(scene)
         finally:
             self.loop.close()
-        if self.judges.finding is not None:
-            raise AssertionError(f"{self.judges.finding}")
+        if self.checker.violation is not None:
+            raise AssertionError(f"{self.checker.violation}")
 
     def _play_scene(self, scene: Callable[["Incident"], Coroutine]) -> None:
         asyncio._set_running_loop(self.loop)
@@ -46,12 +46,12 @@
             self._set_up()
         finally:
             asyncio._set_running_loop(None)
-        self.cluster.lost_requests = self.cluster.lost_answers = 0.0
-        self.judges.settled = lambda: False  # the scene itself judges what is late
-        self._until(12.0, self._begun)
+        self.cluster.request_loss = self.cluster.response_loss = 0.0
+        self.checker.settled = lambda: False  # the scene itself judges what is late
+        self._run_until(12.0, self._has_started)
         task = self._spawn(scene(self))
-        self._until(120.0, task.done)
-        assert self.judges.finding is not None or task.done(), "it hangs"
+        self._run_until(120.0, task.done)
+        assert self.checker.violation is not None or task.done(), "it hangs"
         if task.done():
             task.result()
 
@@ -70,8 +70,8 @@
         """Of an order for the next version, that nobody else sends."""
         self._sent += 1
         tag, revision = f"order-{self._sent}", self.revision + 1
-        body = canonical(document(revision, tag, self.chance))
-        self.judges.ordered(
+        body = canonical(document(revision, tag, self.rng))
+        self.checker.order_sent(
             Order("", tag, "replace", self.revision, revision, body, body, self.cluster.now())
         )
         return body
@@ -127,14 +127,14 @@
             self.answers[status] += 1
             await asyncio.sleep(0.2)
 
-    async def beats(self) -> None:
+    async def heartbeats(self) -> None:
         while self.passed() < CUT_S * 1000.0:
             asked = self.passed()
-            beat = {"backend": "b", "address": "10.9.0.1:9000", "zone": "z", "capacity": 1}
-            beat |= {"phase": "ready", "callCount": int(asked)}
-            body = orjson.dumps(beat)
-            said = await self.incident.call(self.cut, "POST", "/v1/instances/w/heartbeat", body)
-            assert said.status != 200 or asked < 1.5 * QUORUM_FRESH_MS, "it acknowledges a worker's call"
+            heartbeat = {"backend": "b", "address": "10.9.0.1:9000", "zone": "z", "capacity": 1}
+            heartbeat |= {"phase": "ready", "callCount": int(asked)}
+            body = orjson.dumps(heartbeat)
+            response = await self.incident.call(self.cut, "POST", "/v1/instances/w/heartbeat", body)
+            assert response.status != 200 or asked < 1.5 * QUORUM_FRESH_MS, "it acknowledges a worker's call"
             await asyncio.sleep(0.1)
 
     async def changes(self, rest: list[Machine]) -> None:
@@ -150,7 +150,7 @@
     rest = [store for store in stores if store is not cut]
     incident.cut_off(cut)
     callers = _CutOff(incident, cut)
-    await asyncio.gather(callers.reads(), callers.orders(), callers.beats(), callers.changes(rest))
+    await asyncio.gather(callers.reads(), callers.orders(), callers.heartbeats(), callers.changes(rest))
     assert incident.revision > 10 and callers.answers[503] > 2, (incident.revision, callers.answers)
     cluster.network.heal_all()
     await asyncio.sleep(3.0)
@@ -217,7 +217,7 @@
         Incident(seed).run(_four_operators_under_one_number)
 
 
-async def _always(self, within: float = 0.0) -> bool:
+async def _always(self, timeout_ms: float = 0.0) -> bool:
     return True
 
 
@@ -230,12 +230,12 @@
 _proposal_ended = OrderProcess.proposal_ended
 
 PLANTED: list[tuple[AbstractContextManager, Callable]] = [
-    (mock.patch.object(ControlService, "majority", _always), _cut_off_for_twenty_seconds),
+    (mock.patch.object(ControlService, "confirm_majority", _always), _cut_off_for_twenty_seconds),
     (
         mock.patch.object(ControlService, "leads_with_majority", lambda self: self.leads),
         _cut_off_for_twenty_seconds,
     ),
-    (mock.patch.object(State, "revision_of", lambda self, mark: None), _answer_lost_as_the_leader_dies),
+    (mock.patch.object(State, "revision_of", lambda self, order_id: None), _answer_lost_as_the_leader_dies),
     (
         mock.patch.object(State, "recent", property(lambda self: self[2][-32:])),
         _answer_lost_as_the_leader_dies,
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -36,8 +36,8 @@
 from sableford.duties.succession import Candidate
 from sableford.duties.usage_ledger import UsageLedger
 from sableford.simulation.control import platform as walk_platform
-from sableford.simulation.control.judges import Finding
-from sableford.simulation.control.walk import ControlSimulation, Shape
+from sableford.simulation.control.checker import Violation
+from sableford.simulation.control.simulation import ControlSimulation, SimulationConfig
 from sableford.transport.frames import Frame
 from sableford.transport.link import Link
 from sableford.transport.messages import PeerRequest
@@ -91,15 +91,15 @@
     return lambda key, value, after=-1: original(key, value)
 
 
-def mark_not_kept(original: Callable) -> Callable:
+def order_id_not_kept(original: Callable) -> Callable:
     """Which order made a version is forgotten."""
-    return lambda self, mark: None
+    return lambda self, order_id: None
 
 
 # Leases, workers
 
 
-def news_not_waited_for(original: Callable) -> Callable:
+def updates_not_waited_for(original: Callable) -> Callable:
     async def applied(self: ControlService, *given: Any, **named: Any) -> bool:
         return True
 
@@ -114,7 +114,7 @@
     return lambda self, now, within: self.is_leader
 
 
-def late_beat_taken(original: Callable) -> Callable:
+def late_heartbeat_accepted(original: Callable) -> Callable:
     """Neither the count of a worker's calls nor what it said of its end is looked at."""
 
     def put(self: WorkerTable, now: float, entry: Worker) -> Worker | None:
@@ -125,7 +125,7 @@
     return put
 
 
-def news_of_old_term_taken(original: Callable) -> Callable:
+def update_of_older_term_accepted(original: Callable) -> Callable:
     """Neither the term nor the revision of what is told is looked at."""
 
     def apply_update(self: MemberClient, link: Link, update: Update) -> None:
@@ -142,10 +142,12 @@
 def term_not_compared(original: Callable) -> Callable:
     """Entries of an older term, and their answers, pass for the present one's."""
 
-    def heard(self: RaftNode, now: float, sender: str, birth: int, word: Any) -> Any:
-        old = isinstance(word, AppendRequest) and word.term < self.term
-        other = isinstance(word, AppendResponse) and self.is_leader
-        return original(self, now, sender, birth, replace(word, term=self.term) if old or other else word)
+    def heard(self: RaftNode, now: float, sender: str, birth: int, message: Any) -> Any:
+        old = isinstance(message, AppendRequest) and message.term < self.term
+        other = isinstance(message, AppendResponse) and self.is_leader
+        return original(
+            self, now, sender, birth, replace(message, term=self.term) if old or other else message
+        )
 
     return heard
 
@@ -153,10 +155,10 @@
 def answered_before_synced(original: Callable) -> Callable:
     """Votes and entries are spoken of before the disk has them."""
 
-    def keep(self: RaftNode, *deeds: object, then: list | None = None) -> list:
+    def keep(self: RaftNode, *operations: object, then: list | None = None) -> list:
         own = [effect for effect in then or [] if isinstance(effect, OwnVoteDurable)]
         told = [effect for effect in then or [] if effect not in own]
-        return [*original(self, *deeds, then=own), *told]
+        return [*original(self, *operations, then=own), *told]
 
     return keep
 
@@ -199,10 +201,10 @@
 def entry_of_another_term_kept(original: Callable) -> Callable:
     """A follower does not compare the term of the entry before."""
 
-    def appended(self: RaftNode, now: float, sender: str, word: AppendRequest) -> Any:
-        if word.prev <= self.last and word.prev >= self.first:
-            word = replace(word, prev_term=self.term_at(word.prev))
-        return original(self, now, sender, word)
+    def appended(self: RaftNode, now: float, sender: str, message: AppendRequest) -> Any:
+        if message.prev <= self.last and message.prev >= self.first:
+            message = replace(message, prev_term=self.term_at(message.prev))
+        return original(self, now, sender, message)
 
     return appended
 
@@ -310,22 +312,24 @@
     owner: Any
     name: str
     make: Callable
-    judges: set[str]
-    shape: Shape = Shape(seconds=5.0, operators=3, pace_ms=200.0)
+    rules: set[str]
+    config: SimulationConfig = SimulationConfig(seconds=5.0, operators=3, pace_ms=200.0)
     also: tuple[tuple[Any, str, Callable], ...] = ()  # further safeguards that would hide it
 
 
 CUTS = ("cut", "cut_some", "freeze")
-LEADERS = Shape(seconds=30.0, operators=4, pace_ms=100.0, kinds=CUTS)
-RACES = Shape(seconds=60.0, operators=8, pace_ms=50.0, kinds=("freeze", "cut", "kill"))
-CROWD = Shape(seconds=6.0, operators=8, pace_ms=50.0)
-POWER = Shape(seconds=20.0, operators=3, pace_ms=100.0, kinds=("power_all", "stall", "power"))
-SEATS = Shape(stores=4, seconds=25.0, operators=2, pace_ms=200.0, kinds=("replace", "retire", "wipe"))
-LONG = Shape(seconds=30.0, operators=8, pace_ms=50.0, kinds=("kill", "wipe", "power_all"))
-FROZEN = Shape(seconds=15.0, operators=4, pace_ms=200.0, kinds=CUTS)
-LEAVING = Shape(seconds=20.0, workers=8, kinds=CUTS)
-
-DUTIES = Shape(
+LEADERS = SimulationConfig(seconds=30.0, operators=4, pace_ms=100.0, kinds=CUTS)
+RACES = SimulationConfig(seconds=60.0, operators=8, pace_ms=50.0, kinds=("freeze", "cut", "kill"))
+MANY_OPERATORS = SimulationConfig(seconds=6.0, operators=8, pace_ms=50.0)
+POWER = SimulationConfig(seconds=20.0, operators=3, pace_ms=100.0, kinds=("power_all", "stall", "power"))
+VOTER_CHANGES = SimulationConfig(
+    stores=4, seconds=25.0, operators=2, pace_ms=200.0, kinds=("replace", "retire", "wipe")
+)
+LONG = SimulationConfig(seconds=30.0, operators=8, pace_ms=50.0, kinds=("kill", "wipe", "power_all"))
+FROZEN = SimulationConfig(seconds=15.0, operators=4, pace_ms=200.0, kinds=CUTS)
+LEAVING = SimulationConfig(seconds=20.0, workers=8, kinds=CUTS)
+
+DUTIES = SimulationConfig(
     stores=4,
     seconds=25.0,
     operators=1,
@@ -346,7 +350,7 @@
         RecordDriver, "propose", reads_without_majority, LOST, LEADERS, also=(LEADS, STEPS_DOWN)
     ),
     "orders are acknowledged before they are agreed on": Mistake(
-        RecordDriver, "propose", acknowledged_before_agreed, LOST, CROWD
+        RecordDriver, "propose", acknowledged_before_agreed, LOST, MANY_OPERATORS
     ),
     "an order's base is not compared": Mistake(order_process, "decide", base_not_compared, LOST | REPEATS),
     "an order is put without compare-and-set": Mistake(
@@ -357,9 +361,9 @@
         RACES,
         also=((roster_manager, "put", put_without_compare),),
     ),
-    "the mark of an order is not kept": Mistake(orders.State, "revision_of", mark_not_kept, REPEATS),
+    "the mark of an order is not kept": Mistake(orders.State, "revision_of", order_id_not_kept, REPEATS),
     "draining is acknowledged without waiting": Mistake(
-        ControlService, "applied", news_not_waited_for, {"drain"}, LEAVING
+        ControlService, "applied", updates_not_waited_for, {"drain"}, LEAVING
     ),
     "a member's lease is not checked": Mistake(
         MemberClient, "holds_lease", lease_not_checked, {"stale member", "drain"}, FROZEN
@@ -367,9 +371,13 @@
     "a leader is not fenced": Mistake(
         RaftNode, "has_recent_quorum", leader_not_fenced, {"stale member", "drain"}, LEAVING
     ),
-    "late heartbeats are taken": Mistake(WorkerTable, "put", late_beat_taken, {"drain"}, LEAVING),
+    "late heartbeats are taken": Mistake(WorkerTable, "put", late_heartbeat_accepted, {"drain"}, LEAVING),
     "news of an older term is taken": Mistake(
-        MemberClient, "apply_update", news_of_old_term_taken, {"stale member", "went back", "drain"}, LEADERS
+        MemberClient,
+        "apply_update",
+        update_of_older_term_accepted,
+        {"stale member", "went back", "drain"},
+        LEADERS,
     ),
     "entries of an older term are taken": Mistake(
         RaftNode, "heard", term_not_compared, LOST | {"unforeseen"}, LEADERS
@@ -381,13 +389,13 @@
         RaftNode, "_persist", answered_before_synced, LOST, POWER
     ),
     "two changes of voters at once": Mistake(
-        RaftNode, "stable_voters", two_changes_of_voters, STUCK | LOST, SEATS
+        RaftNode, "stable_voters", two_changes_of_voters, STUCK | LOST, VOTER_CHANGES
     ),
     "a newcomer votes before it has caught up": Mistake(
-        RaftNode, "_change_voters", newcomer_counted_at_once, STUCK | LOST, SEATS
+        RaftNode, "_change_voters", newcomer_counted_at_once, STUCK | LOST, VOTER_CHANGES
     ),
     "a newcomer is counted for what it does not hold": Mistake(
-        RaftNode, "_set_voters", newcomer_counts_as_holding_all, STUCK | LOST, SEATS
+        RaftNode, "_set_voters", newcomer_counts_as_holding_all, STUCK | LOST, VOTER_CHANGES
     ),
     "a snapshot is older than what follows it": Mistake(
         StateMachine, "snapshot", old_snapshot, LOST | REPEATS | {"unforeseen"}, LONG
@@ -434,10 +442,10 @@
 }
 
 
-def finding_of(seed: int, shape: Shape) -> Finding | None:
+def finding_of(seed: int, config: SimulationConfig) -> Violation | None:
     try:
-        ControlSimulation(seed, shape).play()
-    except Finding as finding:
+        ControlSimulation(seed, config).play()
+    except Violation as finding:
         return finding
     return None
 
@@ -448,10 +456,10 @@
     with ExitStack() as patches:
         for owner, function, make in ((mistake.owner, mistake.name, mistake.make), *mistake.also):
             patches.enter_context(replaced(owner, function, make))
-        finding = finding_of(seed, mistake.shape)
-    if finding is None or finding.judge not in mistake.judges or finding_of(seed, mistake.shape):
+        finding = finding_of(seed, mistake.config)
+    if finding is None or finding.rule not in mistake.rules or finding_of(seed, mistake.config):
         return ""
-    return f"{finding.judge}: {finding.text}"
+    return f"{finding.rule}: {finding.text}"
 
 
 # Found in a few short walks; the others are for the long command: some need dozens, some were not found.
@@ -481,12 +489,12 @@
     parser.add_argument("--quick", action="store_true", help="just those that a few walks find")
     parser.add_argument("--seeds", type=int, default=40)
     parser.add_argument("--jobs", type=int, default=2)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     missed = []
-    for name in given.names or (QUICK if given.quick else MISTAKES):
-        with Pool(given.jobs) as pool:
-            walks, what = needed(name, given.seeds, pool)
-        print(f"{walks or 'NOT FOUND in ' + str(given.seeds)} walks: {name} ({what[:120]})", flush=True)
+    for name in arguments.names or (QUICK if arguments.quick else MISTAKES):
+        with Pool(arguments.jobs) as pool:
+            walks, what = needed(name, arguments.seeds, pool)
+        print(f"{walks or 'NOT FOUND in ' + str(arguments.seeds)} walks: {name} ({what[:120]})", flush=True)
         missed += [] if walks else [name]
     print(f"{len(missed)} not found")
     return 1 if missed else 0
--- a/tests/control_simulation.py
+++ b/tests/control_simulation.py
@@ -1,17 +1,17 @@
-"""Walks of the whole control side in simulated time, and the mistakes that they must find. Each test runs a
-program of its own that plays several walks at once."""
+"""Simulations of the whole control plane, and the planted mistakes that they must detect. Most tests start a
+separate program that runs several simulations in parallel."""
 
 import subprocess
 import sys
 
-from sableford.simulation.control.walk import ControlSimulation, Shape
+from sableford.simulation.control.simulation import ControlSimulation, SimulationConfig
 
 JOBS = 4
-WITHIN_S = 170.0  # of real time: less than a test may hang
+WITHIN_S = 170.0  # real time; less than the time limit of a test
 
 
 def run(*arguments: str) -> str:
-    """What the program wrote. Fails where it found what it must not."""
+    """Returns the output of the program. Fails if it reports a violation or a mistake that was not found."""
     done = subprocess.run(
         [sys.executable, "-m", *arguments, "--jobs", str(JOBS)],
         capture_output=True,
@@ -33,8 +33,8 @@
 
 def shows_a_walk_is_the_same_each_time() -> None:
     def played() -> tuple[dict, list[str]]:
-        walk = ControlSimulation(7, Shape(seconds=6.0))
-        return walk.play(), [line.partition(" pid=")[0] for line in walk.judges.story()]
+        walk = ControlSimulation(7, SimulationConfig(seconds=6.0))
+        return walk.play(), [line.partition(" pid=")[0] for line in walk.checker.trace()]
 
     assert played() == played()
 
