--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,38 +1,38 @@
-"""The whole system in real processes under a few seeds; `python -m tests.soaking` plays many by hand."""
+"""Soak tests of the whole system in real processes, for a few seeds; `python -m tests.soaking` runs many."""
 
 import tempfile
 from pathlib import Path
 
-from tests.soaking.plan import draw
-from tests.soaking.scene import play
+from tests.soaking.plan import make_plan
+from tests.soaking.scenario import run_scenario
 
-SECONDS = 8.0  # of traffic
+TRAFFIC_S = 8.0
 
 
-def played(seed: int) -> None:
+def run_seed(seed: int) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        result = play(draw(seed, SECONDS), Path(folder))
-    assert not result.wrongs, (result.line(), result.wrongs[:10])
+        result = run_scenario(make_plan(seed, TRAFFIC_S), Path(folder))
+    assert not result.violations, (result.summary(), result.violations[:10])
 
 
-def seeds_with(*kinds: str) -> int:
-    """The first seed whose scene has a series of each kind."""
+def first_seed_with(*kinds: str) -> int:
+    """The first seed whose scenario has a series of each kind."""
     number = 1
-    while not set(kinds) <= {one.kind for one in draw(number, SECONDS).series}:
+    while not set(kinds) <= {one.kind for one in make_plan(number, TRAFFIC_S).series}:
         number += 1
     return number
 
 
-# A request lost, or a message run twice, as edges, stores and workers are replaced while they serve.
+# Guards against lost requests and repeated runs when edges and stores are restarted under traffic.
 def shows_planned_work_on_edges_and_stores_loses_and_repeats_nothing() -> None:
-    played(seeds_with("roll edges", "roll stores"))
+    run_seed(first_seed_with("roll edges", "roll stores"))
 
 
-# A process that a signal or a settings file ends, or a lost message, where signals meet each other.
+# Guards against overlapping signals that lose messages, or a signal or settings file that ends a process.
 def shows_signals_settings_and_kills_that_overlap_lose_no_accepted_message() -> None:
-    played(seeds_with("mixed signals", "settings"))
+    run_seed(first_seed_with("mixed signals", "settings"))
 
 
-# What only a majority of disks knew is gone once all stores were killed at once.
+# Guards against the loss of data that is only on a majority of disks, when all stores are killed at once.
 def shows_all_stores_killed_at_once_lose_nothing_that_was_accepted() -> None:
-    played(seeds_with("kill all stores"))
+    run_seed(first_seed_with("kill all stores"))
--- a/tests/soaking/__init__.py
+++ b/tests/soaking/__init__.py
@@ -1,5 +1,6 @@
-"""A soak of the whole system: real processes, stand-in workers, clients and an operator, drawn from a seed.
+"""Soak test of the whole system: real processes, stand-in workers, clients and an operator, from a seed.
 
-`plan` draws what is done, `scene` plays it, `record` holds what clients, workers and the operator saw, and
-`judge` holds that against the rules. Nothing of the system's own state is asked for.
+`plan` generates a scenario from the seed, `scenario` runs it, `history` holds what clients, workers and the
+operator observed, and `checker` checks that history against the rules. Only what is observable from
+outside counts; the system's internal state is never read.
 """
--- a/tests/soaking/__main__.py
+++ b/tests/soaking/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tests.soaking --seeds 1-50`: one line a seed, exit code 1 where one failed."""
+"""`python -m tests.soaking --seeds 1-50`: prints one line per seed; exit code 1 if any failed."""
 
 import argparse
 import os
@@ -8,16 +8,16 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from tests.soaking.plan import DEFAULT_SECONDS, draw
-from tests.soaking.scene import play
+from tests.soaking.plan import DEFAULT_SECONDS, make_plan
+from tests.soaking.scenario import run_scenario
 
-MOST_PROCESSES = 200
-PROCESS_BYTES = 80 * 1024 * 1024  # what one takes, generously
+MAX_PROCESSES = 200
+PROCESS_BYTES = 80 * 1024 * 1024  # generous estimate of the memory that one process needs
 
 
-def seeds(text: str) -> Iterator[int]:
+def parse_seeds(text: str) -> Iterator[int]:
     """
-    >>> list(seeds("1-3,7"))
+    >>> list(parse_seeds("1-3,7"))
     [1, 2, 3, 7]
     """
     for part in text.split(","):
@@ -25,31 +25,31 @@
         yield from range(int(first), int(last or first) + 1)
 
 
-def most_processes() -> int:
-    """What this machine bears: under half of its memory."""
+def max_processes() -> int:
+    """As many processes as fit into half of this machine's memory, but at most MAX_PROCESSES."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
-    return min(MOST_PROCESSES, memory // 2 // PROCESS_BYTES)
+    return min(MAX_PROCESSES, memory // 2 // PROCESS_BYTES)
 
 
 def main() -> int:
     parser = argparse.ArgumentParser("python -m tests.soaking", description=__doc__)
-    parser.add_argument("--seeds", default="1-50", help="As in 1-50 or 3,7,20-25.")
+    parser.add_argument("--seeds", default="1-50", help="For example 1-50 or 3,7,20-25.")
     parser.add_argument("--processes", type=int, default=0, help="Of the system; 0: a few, by the seed.")
-    parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS, help="Of traffic in each scene.")
-    parser.add_argument("--logs", type=Path, help="Logs of each seed are kept in its own folder there.")
-    given = parser.parse_args()
-    if given.processes > most_processes():
-        parser.error(f"--processes: this machine bears {most_processes()}")
+    parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS, help="Of traffic in each scenario.")
+    parser.add_argument("--logs", type=Path, help="Folder for the logs, with a subfolder for each seed.")
+    options = parser.parse_args()
+    if options.processes > max_processes():
+        parser.error(f"--processes: this machine has memory for {max_processes()}")
     failed = 0
-    for seed in seeds(given.seeds):
+    for seed in parse_seeds(options.seeds):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        result = play(draw(seed, given.seconds, given.processes), folder)
-        print(result.line(), flush=True)
-        failed += bool(result.wrongs)
-        if given.logs is not None:
-            kept = given.logs / str(seed)
-            shutil.rmtree(kept, ignore_errors=True)
-            shutil.copytree(folder, kept, ignore=shutil.ignore_patterns("store-?"))
+        result = run_scenario(make_plan(seed, options.seconds, options.processes), folder)
+        print(result.summary(), flush=True)
+        failed += bool(result.violations)
+        if options.logs is not None:
+            log_folder = options.logs / str(seed)
+            shutil.rmtree(log_folder, ignore_errors=True)
+            shutil.copytree(folder, log_folder, ignore=shutil.ignore_patterns("store-?"))
         shutil.rmtree(folder)
     return 1 if failed else 0
 
--- a/tests/soaking/configurations.py
+++ b/tests/soaking/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations as the operator sends them, and what each allows a request."""
+"""Configurations that the operator sends, and the response that each one allows for a request."""
 
 import importlib.util
 from copy import deepcopy
@@ -8,11 +8,11 @@
 from tests.soaking.plan import ROUTES, SERVICES, TENANTS
 
 HOSTNAME = "soak.example"
-DEADLINES_MS, MAX_TRIES = (1200, 1500, 2500), 3
+DEADLINES_MS, MAX_ATTEMPTS = (1200, 1500, 2500), 3
 UNUSED_SERVICE = "gamma"
-KEYS_EACH = 2
-FINAL_KEY = "final"  # which each tenant has at the end
-LASTING = {"route-0", "route-1", "route-2", "route-3"}  # never dropped: what they accept must be run
+KEYS_PER_TENANT = 2
+FINAL_KEY = "final"  # suffix of the key that every tenant has in the last configuration
+PERMANENT_ROUTES = {"route-0", "route-1", "route-2", "route-3"}  # never dropped: all they accept is run
 HAS_TENANTS = importlib.util.find_spec("sableford.edge.authentication") is not None
 
 
@@ -39,7 +39,7 @@
         "targetMs": 100,
         "startTargetMs": 1200,
         "rank": number % 3,
-        "maxTries": MAX_TRIES,
+        "maxTries": MAX_ATTEMPTS,
         "fifo": is_fifo(number),
         "retentionS": 600,
         "notify": False,
@@ -52,11 +52,11 @@
 
 
 def tenant_of_key(key: str) -> str:
-    """Whose it is, was or will be: a key says so itself, and never changes hands."""
+    """The tenant of a key, which is its prefix; a key never moves to another tenant."""
     return key.partition(".")[0]
 
 
-def first(random: Random) -> dict:
+def initial_document(random: Random) -> dict:
     return {
         "revision": 1,
         "routes": [route(number, random.choice(SERVICES)) for number in range(ROUTES)],
@@ -72,7 +72,7 @@
             "idleTimeoutMs": 15000,
         },
         "tenants": [
-            tenant(number, [f"tenant-{number}.key-{at}" for at in range(KEYS_EACH)])
+            tenant(number, [f"tenant-{number}.key-{at}" for at in range(KEYS_PER_TENANT)])
             for number in range(TENANTS)
         ],
     }
@@ -80,15 +80,15 @@
 
 @dataclass
 class Change:
-    """A next configuration, and the call that asks for it."""
+    """A new configuration, and the body of the call that requests it."""
 
     kind: str
     document: dict
-    amendment: dict | None  # None: the document replaces the one before
+    amendment: dict | None  # None: the whole document is sent as a replacement
 
 
-class Drawer:
-    """Draws changes from a seed."""
+class ChangeGenerator:
+    """Generates random changes from a seed."""
 
     def __init__(self, random: Random) -> None:
         self.random, self._keys = random, 0
@@ -116,15 +116,15 @@
         return Change(kind, new, amendment)
 
     def _apply(self, kind: str, new: dict) -> tuple[str, set[str]]:
-        """The part that changed, and the names of what it changed and kept."""
+        """Returns the section that changed, and the names of the items that were added or changed."""
         random, routes, tenants = self.random, new["routes"], new["tenants"]
         missing = [n for n in range(ROUTES) if f"route-{n}" not in {one["name"] for one in routes}]
         if kind == "add route" and missing:
             routes.append(route(random.choice(missing), random.choice(SERVICES)))
             return "routes", {routes[-1]["name"]}
-        passing = [one for one in routes if one["name"] not in LASTING]
-        if kind == "drop route" and passing:
-            routes.remove(random.choice(passing))
+        droppable = [one for one in routes if one["name"] not in PERMANENT_ROUTES]
+        if kind == "drop route" and droppable:
+            routes.remove(random.choice(droppable))
             return "routes", set()
         if kind == "drop tenant" and len(tenants) > 1:
             tenants.pop(random.randrange(len(tenants)))
@@ -153,7 +153,7 @@
         return "routes", {moved["name"]}
 
     def _change_service(self, kind: str, services: list[dict]) -> set[str]:
-        """One that no route names comes or goes, or one takes another number of connections."""
+        """Adds or removes a service that no route uses, or changes a service's number of connections."""
         if kind == "change service":
             changed = self.random.choice(services)
             changed["maxConns"] = self.random.randint(50, 300)
@@ -168,17 +168,17 @@
         self._keys += 1
         return f"tenant-{number}.later-{self._keys}"
 
-    def invalid(self, base: dict) -> dict:
-        """What must not be acknowledged."""
+    def invalid_document(self, base: dict) -> dict:
+        """Generates an invalid document, which must be rejected."""
         new = deepcopy(base)
         new["revision"] = base["revision"] + 1
-        kinds = ["unknown service", "same place", "no deadline", "old revision"]
+        kinds = ["unknown service", "duplicate path prefix", "no deadline", "old revision"]
         if HAS_TENANTS and len(new["tenants"]) > 1 and new["tenants"][0]["apiKeys"]:
             kinds.append("shared key")
         kind = self.random.choice(kinds)
         if kind == "unknown service":
             new["routes"][0]["backend"] = "nobody"
-        elif kind == "same place":
+        elif kind == "duplicate path prefix":
             new["routes"].append(new["routes"][0] | {"name": "other"})
         elif kind == "no deadline":
             new["routes"][0]["deadlineMs"] = 0
@@ -190,8 +190,8 @@
         return new
 
 
-def final(base: dict) -> dict:
-    """Every tenant has a key again, so that all states can be asked for."""
+def final_document(base: dict) -> dict:
+    """The last configuration: every tenant has a known key, so that all message states can be queried."""
     new = deepcopy(base)
     new["revision"] = base["revision"] + 1
     names = {one["name"] for one in new["tenants"]}
@@ -203,10 +203,10 @@
     return new
 
 
-# What a configuration allows
+# Expected responses under a configuration
 
 
-def route_of(document: dict, path: str) -> dict | None:
+def matching_route(document: dict, path: str) -> dict | None:
     return next((one for one in document["routes"] if path.startswith(one["pathPrefix"])), None)
 
 
@@ -214,9 +214,9 @@
     return bool(key) and any(key in one["apiKeys"] for one in document["tenants"])
 
 
-def expected(document: dict, path: str, key: str) -> tuple[int, str]:
-    """The status of the edge's own answer to a message, 202 where it may be taken; and its tenant."""
-    found = route_of(document, path)
+def expected_response(document: dict, path: str, key: str) -> tuple[int, str]:
+    """The status that the configuration alone implies (202: may be accepted), and the message's tenant."""
+    found = matching_route(document, path)
     if found is None:
         return 404, ""
     if not HAS_TENANTS:
@@ -226,7 +226,7 @@
     return (202, "") if found["public"] else (401, "")
 
 
-def in_order(document: dict) -> dict:
-    """For comparing: the order of named items says nothing."""
+def normalized(document: dict) -> dict:
+    """A form for comparison: named items are sorted, since their order has no meaning."""
     parts = ("routes", "backends", "tenants")
     return document | {part: sorted(document[part], key=lambda one: one["name"]) for part in parts}
--- a/tests/soaking/operator.py
+++ b/tests/soaking/operator.py
@@ -1,36 +1,36 @@
-"""The operator: one change after the other, at times two at once on the same base, at times an invalid one.
-A call without a clear answer is sent again unchanged until there is one."""
+"""The operator, who sends one configuration change after another; sometimes two at once on the same base
+version, sometimes an invalid one. A call without a definite response is retried unchanged."""
 
 import asyncio
 import json
 from random import Random
 
 from tests.soaking import configurations
-from tests.soaking.configurations import Change, Drawer
+from tests.soaking.configurations import Change, ChangeGenerator
 from tests.soaking.connection import request_bytes
 from tests.soaking.fleet import Fleet
-from tests.soaking.record import Record, Version, now
+from tests.soaking.history import History, Version, now
 
 CALL_TIMEOUT_S = 6.0
-AGAIN_S = 0.2
+RETRY_INTERVAL_S = 0.2
 RACE_SHARE, INVALID_SHARE = 0.15, 0.15
-CLEAR = (400, 409, 412, 413, 422)
+REJECTED_STATUSES = (400, 409, 412, 413, 422)
 
 
 class Operator:
-    def __init__(self, fleet: Fleet, record: Record, seed: int, pause_s: float) -> None:
-        self.fleet, self.record, self.pause_s = fleet, record, pause_s
+    def __init__(self, fleet: Fleet, history: History, seed: int, pause_s: float) -> None:
+        self.fleet, self.history, self.pause_s = fleet, history, pause_s
         self.random = Random(f"operator {seed}")
-        self.drawer = Drawer(self.random)
+        self.change_generator = ChangeGenerator(self.random)
         self.newest: Version | None = None
-        self.is_going = True
+        self.is_running = True
 
-    async def begin(self) -> None:
-        document = configurations.first(self.random)
+    async def send_initial(self) -> None:
+        document = configurations.initial_document(self.random)
         await self._send(Change("first", document, None), 0)
 
     async def run(self) -> None:
-        while self.is_going:
+        while self.is_running:
             await asyncio.sleep(self.pause_s * self.random.uniform(0.5, 2.0))
             await self._step()
 
@@ -42,66 +42,68 @@
         elif drawn < INVALID_SHARE + RACE_SHARE:
             await self._race(base)
         else:
-            await self._send(self.drawer.change(base), base["revision"])
+            await self._send(self.change_generator.change(base), base["revision"])
 
     async def _race(self, base: dict) -> None:
-        changes = [self.drawer.change(base), self.drawer.change(base)]
+        changes = [self.change_generator.change(base), self.change_generator.change(base)]
         if changes[0].document == changes[1].document:
             return
         changes[1].document["revision"] = changes[0].document["revision"] + 1
         if changes[1].amendment is not None:
             changes[1].amendment["revision"] = changes[1].document["revision"]
-        sent = await asyncio.gather(*(self._send(one, base["revision"]) for one in changes))
-        if all(one.acknowledged_at is not None for one in sent):
-            numbers = [one.revision for one in sent]
-            self.record.problem(f"CONFIG both of a race on {base['revision']} were acknowledged: {numbers}")
+        versions = await asyncio.gather(*(self._send(one, base["revision"]) for one in changes))
+        if all(one.acknowledged_at is not None for one in versions):
+            numbers = [one.revision for one in versions]
+            self.history.add_violation(
+                f"CONFIG two concurrent changes on {base['revision']} were both acknowledged: {numbers}"
+            )
 
     async def _send_invalid(self, base: dict) -> None:
-        document = self.drawer.invalid(base)
-        status = await self._until_clear("replace", document, base["revision"])
+        document = self.change_generator.invalid_document(base)
+        status = await self._retry_until_definite("replace", document, base["revision"])
         if status == 200:
-            self.record.problem(f"CONFIG an invalid configuration was acknowledged: {document}")
+            self.history.add_violation(f"CONFIG an invalid configuration was acknowledged: {document}")
 
     async def _send(self, change: Change, base: int) -> Version:
         version = Version(change.document, now())
-        self.record.versions.append(version)
+        self.history.versions.append(version)
         call, body = "replace", change.document
         if change.amendment is not None:
             call, body = "amend", change.amendment
-        status = await self._until_clear(call, body, base)
-        self.record.event(f"version {version.revision} on {base} ({change.kind}, {call}): {status}")
+        status = await self._retry_until_definite(call, body, base)
+        self.history.add_event(f"version {version.revision} on {base} ({change.kind}, {call}): {status}")
         if status == 200:
             version.acknowledged_at = now()
             if self.newest is None or version.revision > self.newest.revision:
                 self.newest = version
         else:
-            version.refused = True
+            version.rejected = True
             if status != 412:
-                self.record.problem(f"CONFIG a valid configuration was refused with {status}")
+                self.history.add_violation(f"CONFIG a valid configuration was rejected with {status}")
         return version
 
-    async def _until_clear(self, call: str, body: dict, base: int) -> int:
-        fields = {"Host": "x", "Base-Version": str(base), "Content-Type": "application/json"}
-        request = request_bytes("POST", f"/v1/config/{call}", fields, json.dumps(body).encode())
+    async def _retry_until_definite(self, call: str, body: dict, base: int) -> int:
+        headers = {"Host": "x", "Base-Version": str(base), "Content-Type": "application/json"}
+        request = request_bytes("POST", f"/v1/config/{call}", headers, json.dumps(body).encode())
         while True:
-            answer = await self.fleet.control(request, self.random, CALL_TIMEOUT_S)
-            if answer is not None and (answer.status == 200 or answer.status in CLEAR):
-                return answer.status
-            await asyncio.sleep(AGAIN_S)
+            response = await self.fleet.control_request(request, self.random, CALL_TIMEOUT_S)
+            if response is not None and (response.status == 200 or response.status in REJECTED_STATUSES):
+                return response.status
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def finish(self) -> None:
-        """A last version, and the configuration that is read back."""
+    async def send_final(self) -> None:
+        """Sends the last version, and checks that it is read back."""
         assert self.newest is not None
         base = self.newest.document
-        await self._send(Change("final", configurations.final(base), None), base["revision"])
+        await self._send(Change("final", configurations.final_document(base), None), base["revision"])
         request = request_bytes("GET", "/v1/config/read", {"Host": "x"})
         while True:
-            answer = await self.fleet.control(request, self.random, CALL_TIMEOUT_S)
-            if answer is not None and answer.status == 200:
+            response = await self.fleet.control_request(request, self.random, CALL_TIMEOUT_S)
+            if response is not None and response.status == 200:
                 break
-            await asyncio.sleep(AGAIN_S)
-        read = configurations.in_order(json.loads(answer.body))
-        if read != configurations.in_order(self.newest.document):
-            self.record.problem(
+            await asyncio.sleep(RETRY_INTERVAL_S)
+        read = configurations.normalized(json.loads(response.body))
+        if read != configurations.normalized(self.newest.document):
+            self.history.add_violation(
                 f"CONFIG read back: {read['revision']}, and {self.newest.revision} is the newest acknowledged"
             )
--- a/tests/soaking/plan.py
+++ b/tests/soaking/plan.py
@@ -1,4 +1,4 @@
-"""What one scene is made of, drawn from its seed alone."""
+"""Generates a scenario from its seed alone."""
 
 from dataclasses import dataclass
 from random import Random
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True)
 class Series:
-    """Deeds of one kind, one after the other, beside other series."""
+    """Actions of one kind, run one after another and concurrently with other series."""
 
     kind: str
-    begins_s: float
-    overlaps: bool  # the next deed does not wait for the end of the one before
+    starts_after_s: float
+    overlaps: bool  # an action does not wait until the previous one is complete
     seed: str
 
     def random(self) -> Random:
@@ -30,26 +30,26 @@
     seconds: float
     stores: int
     edges: int
-    workers: int  # of each service
+    workers: int  # per service
     clients: int
     is_planned_only: bool
-    is_rough: bool  # workers fail, break off and fall silent
+    has_faulty_workers: bool  # workers also drop connections, truncate responses or never respond
     series: tuple[Series, ...]
     operator_pause_s: float
 
-    def told(self) -> str:
-        """In short, for one line."""
+    def summary(self) -> str:
+        """A short description, on one line."""
         kinds = ", ".join(sorted(one.kind + ("*" if one.overlaps else "") for one in self.series))
-        workers = "rough workers" if self.is_rough else "sound workers"
+        workers = "faulty workers" if self.has_faulty_workers else "reliable workers"
         return f"{self.stores} stores, {self.edges} edges, {workers}; {kinds}"
 
 
-def draw(seed: int, seconds: float = DEFAULT_SECONDS, processes: int = 0) -> Plan:
-    """`processes`: so many stores and edges together; 0: a small number of them.
+def make_plan(seed: int, seconds: float = DEFAULT_SECONDS, processes: int = 0) -> Plan:
+    """Generates the plan of a seed. `processes`: the number of stores and edges together; 0: a few.
 
-    >>> draw(7) == draw(7), draw(7) == draw(8)
+    >>> make_plan(7) == make_plan(7), make_plan(7) == make_plan(8)
     (True, False)
-    >>> plan = draw(1, processes=40)
+    >>> plan = make_plan(1, processes=40)
     >>> plan.stores + plan.edges
     40
     """
@@ -74,7 +74,7 @@
         workers=random.randint(2, 3) if not processes else 10,
         clients=6 if not processes else min(40, max(6, edges // 2)),
         is_planned_only=is_planned_only,
-        is_rough=random.random() < 0.6,
+        has_faulty_workers=random.random() < 0.6,
         series=series,
         operator_pause_s=random.choice((0.1, 0.5, 2.0, 4.0)),
     )
