--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""The one runner: scenarios, doctests and the plain asserts of the adapter."""
+"""Runs all tests: scenario files, doctests and test functions."""
 
 import argparse
 import asyncio
@@ -30,14 +30,14 @@
     "runner",
     "soaking",
     "slow",
-}  # what tests use or start
+}  # helpers, without test functions
 MODULES = [
     importlib.import_module(f"tests.{found.name}")
     for found in pkgutil.iter_modules(tests.__path__)
     if found.name not in NO_TESTS
 ]
-# With processes, threads or sockets of their own.
-ALONE = {
+# Modules whose tests use processes, threads or sockets, and run alone.
+EXCLUSIVE = {
     f"tests.{name}"
     for name in (
         "command",
@@ -53,28 +53,28 @@
 }
 
 
-def doctested(module) -> None:
+def run_doctests(module) -> None:
     result = doctest.testmod(module)
     assert not result.failed, f"{result.failed} examples failed"
 
 
-def everything() -> Iterator[Test]:
+def all_tests() -> Iterator[Test]:
     for folder, player in (("scenarios", play), ("sockets", lambda lines: asyncio.run(play_sockets(lines)))):
         for path in sorted(Path(__file__).parent.glob(f"{folder}/*.txt")):
             for title, lines in scenarios(path.read_text()).items():
                 check = functools.partial(player, lines)
-                yield Test(f"{path.stem}: {title}", check, alone=folder == "sockets")
+                yield Test(f"{path.stem}: {title}", check, exclusive=folder == "sockets")
     for package in (sableford, tests):
         for found in pkgutil.walk_packages(package.__path__, package.__name__ + "."):
             if not found.name.endswith("__main__"):
                 module = importlib.import_module(found.name)
                 if ">>>" in Path(module.__file__).read_text():
-                    yield Test(f"examples of {found.name}", functools.partial(doctested, module))
+                    yield Test(f"examples of {found.name}", functools.partial(run_doctests, module))
     for module in MODULES:
         for name, check in list(vars(module).items()):
             if name.startswith("shows_"):
                 title = f"{module.__name__}: {name[6:].replace('_', ' ')}"
-                yield Test(title, check, alone=module.__name__ in ALONE)
+                yield Test(title, check, exclusive=module.__name__ in EXCLUSIVE)
 
 
 def main() -> int:
@@ -83,8 +83,8 @@
     parser.add_argument(
         "words", nargs="*", metavar="WORD", help="Only tests that have a word in their title."
     )
-    given = parser.parse_args()
-    return runner.main(list(everything()), given.words, given.slowest)
+    options = parser.parse_args()
+    return runner.main(list(all_tests()), options.words, options.slowest)
 
 
 if __name__ == "__main__":
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -1,7 +1,7 @@
-"""How tests are run and what a run comes to: several processes, known failures, the closing line.
+"""Runs tests in several processes and summarizes the results, with known failures reported separately.
 
-Tests of pure functions run in a few processes at once. Those that start processes of their own or hold
-sockets run one after the other once the rest is done, so that none of them is slowed down by another.
+Tests of pure functions run in a few processes in parallel. Tests that start processes or use sockets run one
+after another once the rest is done, so that they do not slow each other down.
 """
 
 import faulthandler
@@ -16,47 +16,47 @@
 
 import msgspec
 
-HUNG_S = 180.0  # for one test, three times what a scene of several processes has
-WORKERS = 4  # processes at once: what a small machine of the CI has cores for
-MOST_ENTRY_CHARACTERS = 400  # of one line of KNOWN-RED.txt
+TEST_TIMEOUT_S = 180.0  # per test; three times the limit of a scenario with several processes
+WORKERS = 4  # parallel processes; the number of cores of a small CI machine
+MAX_ENTRY_CHARACTERS = 400  # per line of KNOWN-RED.txt
 KNOWN_RED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 
 
 class Test(msgspec.Struct, frozen=True):
     title: str
     check: Callable[[], None]
-    alone: bool = False  # no other test runs beside it
+    exclusive: bool = False  # no other test runs beside it
 
 
 class Result(msgspec.Struct, frozen=True):
     title: str
-    problem: str = ""  # what failed; empty for a test that passed
+    failure: str = ""  # what failed; empty if the test passed
     seconds: float = 0.0
 
 
 class KnownRed(msgspec.Struct, frozen=True):
-    """A test that fails for a real fault which could not be mended yet: one line of KNOWN-RED.txt."""
+    """A test that fails because of a real fault that is not fixed yet; one line of KNOWN-RED.txt."""
 
-    test: str  # its title, as a run prints it
-    command: str  # which shows the failure, with its seed
+    test: str  # its title, as the runner prints it
+    command: str  # command that reproduces the failure, with its seed
     seen: str  # what failed
     issue: int
 
 
 class KnownRedError(ValueError):
-    """KNOWN-RED.txt does not say what it has to; the message names the line and what is wrong."""
+    """KNOWN-RED.txt is malformed; the message names the line and the error."""
 
 
-class Verdict(msgspec.Struct, frozen=True):
-    """`lines` end with the closing line."""
+class Summary(msgspec.Struct, frozen=True):
+    """The printed lines, the totals last, and whether the run failed."""
 
     lines: tuple[str, ...]
     failed: bool
 
 
 def read_known_red(text: str, titles: Iterable[str]) -> tuple[KnownRed, ...]:
-    """Lines of the form `test | command and seed | seen | issue`. Blank lines count for nothing, a comment is
-    not provided for.
+    """Lines of the form `test | command and seed | seen | issue`. Blank lines are ignored; comments
+    are not supported.
 
     >>> read_known_red("a: b | python -m tests 'a: b', seed 7 | a lost message | 54", ["a: b"])
     (KnownRed(test='a: b', command="python -m tests 'a: b', seed 7", seen='a lost message', issue=54),)
@@ -72,99 +72,100 @@
     return tuple(known)
 
 
-def _known_red(place: str, line: str, titles: set[str], before: list[KnownRed]) -> KnownRed:
+def _known_red(location: str, line: str, titles: set[str], earlier: list[KnownRed]) -> KnownRed:
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != 4 or not all(parts):
         form = "`test | command and seed | seen | issue`"
-        raise KnownRedError(f"{place}: not {form}: {line.strip()!r}")
-    if len(line) > MOST_ENTRY_CHARACTERS:
-        raise KnownRedError(f"{place}: {len(line)} characters, {MOST_ENTRY_CHARACTERS} at most")
+        raise KnownRedError(f"{location}: not {form}: {line.strip()!r}")
+    if len(line) > MAX_ENTRY_CHARACTERS:
+        raise KnownRedError(f"{location}: {len(line)} characters, {MAX_ENTRY_CHARACTERS} at most")
     test, command, seen, issue = parts
     if not re.fullmatch(r"[0-9]{1,9}", issue):
-        raise KnownRedError(f"{place}: the issue is not a number: {issue!r}")
+        raise KnownRedError(f"{location}: the issue is not a number: {issue!r}")
     if test not in titles:
-        raise KnownRedError(f"{place}: no test is called {test!r}")
-    if any(one.test == test for one in before):
-        raise KnownRedError(f"{place}: listed twice: {test!r}")
+        raise KnownRedError(f"{location}: no test is called {test!r}")
+    if any(one.test == test for one in earlier):
+        raise KnownRedError(f"{location}: listed twice: {test!r}")
     return KnownRed(test, command, seen, int(issue))
 
 
-def judge(results: Sequence[Result], known: Sequence[KnownRed]) -> Verdict:
-    """What a run comes to. A listed test is printed with its verdict and counts neither way: one that fails
-    now and then passes at times, and is taken off the list by its fix."""
-    listed = {one.test: one for one in known}
+def summarize(results: Sequence[Result], known: Sequence[KnownRed]) -> Summary:
+    """Summarizes a run. A listed test is printed with its outcome but not counted as passed or failed: a
+    flaky one may pass, and is removed from the list only by its fix."""
+    known_by_title = {one.test: one for one in known}
     lines: list[str] = []
     passed = failed = 0
     for result in results:
-        entry = listed.get(result.title)
+        entry = known_by_title.get(result.title)
         if entry is not None:
-            outcome = "failed" if result.problem else "passed"
+            outcome = "failed" if result.failure else "passed"
             lines.append(f"KNOWN RED {entry.test}: {outcome}: {entry.seen} (issue {entry.issue})")
-        elif result.problem:
+        elif result.failure:
             failed += 1
-            lines.append(f"FAILED {result.title}\n    {result.problem}")
+            lines.append(f"FAILED {result.title}\n    {result.failure}")
         else:
             passed += 1
     if known:
-        lines.append(f"{sum(result.title in listed for result in results)} known red")
+        lines.append(f"{sum(result.title in known_by_title for result in results)} known red")
     lines.append(f"{passed} passed, {failed} failed")
-    return Verdict(tuple(lines), failed > 0 or passed == 0)
+    return Summary(tuple(lines), failed > 0 or passed == 0)
 
 
 def run_one(test: Test) -> Result:
-    faulthandler.dump_traceback_later(HUNG_S, exit=True)  # past a test's own limit
-    begun = time.monotonic()
+    faulthandler.dump_traceback_later(TEST_TIMEOUT_S, exit=True)  # exceeds every test's own time-out
+    started = time.monotonic()
     try:
         test.check()
-        problem = ""
-    except Exception as raised:
-        problem = f"{type(raised).__name__}: {raised}"
+        failure = ""
+    except Exception as error:
+        failure = f"{type(error).__name__}: {error}"
     finally:
         faulthandler.cancel_dump_traceback_later()
-    return Result(test.title, problem, time.monotonic() - begun)
+    return Result(test.title, failure, time.monotonic() - started)
 
 
-_tests: Sequence[Test] = ()  # handed down to the processes by the fork: a check can't be sent
+_tests: Sequence[Test] = ()  # inherited by the forked processes: checks can't be pickled
 
 
 def _run_numbered(number: int) -> Result:
     return run_one(_tests[number])
 
 
-def parted(tests: Sequence[Test]) -> tuple[list[Test], list[Test]]:
-    """Those that may run at once, and those that run alone, each in their order."""
-    return [test for test in tests if not test.alone], [test for test in tests if test.alone]
+def split_exclusive(tests: Sequence[Test]) -> tuple[list[Test], list[Test]]:
+    """The tests that may run in parallel, and those that must run alone; the order is kept in both."""
+    return [test for test in tests if not test.exclusive], [test for test in tests if test.exclusive]
 
 
 def run_all(tests: Sequence[Test], workers: int = WORKERS) -> Iterator[Result]:
-    """Each test's result, in the order of `parted`. BrokenProcessPool where a test took its process with it,
-    or was ended with it after HUNG_S. It is not for calls from within a test: a fork inherits the watch of
-    `run_one`, which then never ends."""
+    """Yields each test's result, in the order of `split_exclusive`. Raises BrokenProcessPool if a test
+    ended its process or was terminated after TEST_TIMEOUT_S. Must not be called from within a test: a forked
+    process inherits the faulthandler timer of `run_one`, which then never ends."""
     global _tests
-    _tests, alone = parted(tests)
+    _tests, exclusive = split_exclusive(tests)
     fork = multiprocessing.get_context("fork")
     with ProcessPoolExecutor(min(workers, os.cpu_count() or 1), mp_context=fork) as pool:
         yield from pool.map(_run_numbered, range(len(_tests)))
-    yield from map(run_one, alone)
+    yield from map(run_one, exclusive)
 
 
 def main(tests: Sequence[Test], words: Sequence[str] = (), slowest: int = 0) -> int:
-    """Exit code 1 where something failed, 2 for a bad KNOWN-RED.txt, which runs nothing. `words`: only tests
-    that have one of them in their title. `slowest`: so many are named with how long they took."""
+    """Runs the tests; returns exit code 1 if something failed, or 2, without running any test, if
+    KNOWN-RED.txt is malformed. `words`: only tests with one of them in their title. `slowest`: the number of
+    slowest tests to print with their duration."""
     text = KNOWN_RED.read_text() if KNOWN_RED.exists() else ""
     try:
         known = read_known_red(text, [test.title for test in tests])
-    except KnownRedError as problem:
-        print(problem)
+    except KnownRedError as error:
+        print(error)
         return 2
-    chosen = [test for test in tests if not words or any(word in test.title for word in words)]
+    selected = [test for test in tests if not words or any(word in test.title for word in words)]
     try:
-        results = list(run_all(chosen))
+        results = list(run_all(selected))
     except BrokenProcessPool:
-        print(f"FAILED: a test ended its process, or took more than {HUNG_S:.0f} s (its stack stands above)")
+        print(f"FAILED: a test ended its process, or took over {TEST_TIMEOUT_S:.0f} s (see its stack above)")
         return 1
     for result in sorted(results, key=lambda one: -one.seconds)[:slowest]:
         print(f"{result.seconds:8.2f} s  {result.title}")
-    verdict = judge(results, known)
-    print("\n".join(verdict.lines))
-    return 1 if verdict.failed else 0
+    summary = summarize(results, known)
+    print("\n".join(summary.lines))
+    return 1 if summary.failed else 0
--- a/tests/running.py
+++ b/tests/running.py
@@ -1,17 +1,26 @@
-"""Plain asserts on the runner: what it makes of results and of KNOWN-RED.txt."""
-
-from tests.runner import KnownRed, KnownRedError, Result, Test, judge, parted, read_known_red, run_one
+"""Tests of the test runner: the summary of results, and the parsing of KNOWN-RED.txt."""
+
+from tests.runner import (
+    KnownRed,
+    KnownRedError,
+    Result,
+    Test,
+    read_known_red,
+    run_one,
+    split_exclusive,
+    summarize,
+)
 
 TITLES = [f"module: test {number}" for number in range(5)]
 COMMAND = "python -m tests 'test 1', seed 7"
 LINE = f"module: test 1 | {COMMAND} | a lost message | 54"
 
 
-def refused(text: str) -> str:
+def rejection_of(text: str) -> str:
     try:
         known = read_known_red(text, TITLES)
-    except KnownRedError as problem:
-        return str(problem)
+    except KnownRedError as error:
+        return str(error)
     raise AssertionError(known)
 
 
@@ -24,7 +33,7 @@
 
 
 def shows_a_bad_line_of_known_red_is_told_in_one_line_with_its_number() -> None:
-    for line, said in (
+    for line, expected in (
         ("module: test 1", "not `test"),
         ("module: test 1 | a race in some.py | 54", "not `test"),
         ("module: test 1 | | a race | 54", "not `test"),
@@ -35,55 +44,57 @@
         (f"module: test 2 | a command | {'long ' * 90} | 54", "characters, 400 at most"),
         (LINE, "listed twice"),
     ):
-        told = refused(f"{LINE}\n{line}")
-        assert told.startswith("KNOWN-RED.txt:2: ") and said in told and "\n" not in told, told
+        message = rejection_of(f"{LINE}\n{line}")
+        assert (
+            message.startswith("KNOWN-RED.txt:2: ") and expected in message and "\n" not in message
+        ), message
 
 
 def shows_a_known_failure_is_printed_and_fails_nothing() -> None:
     known = read_known_red(LINE, TITLES)
-    verdict = judge([Result(TITLES[0]), Result(TITLES[1], "AssertionError: x")], known)
-    assert verdict.lines == (
+    summary = summarize([Result(TITLES[0]), Result(TITLES[1], "AssertionError: x")], known)
+    assert summary.lines == (
         "KNOWN RED module: test 1: failed: a lost message (issue 54)",
         "1 known red",
         "1 passed, 0 failed",
     )
-    assert not verdict.failed
+    assert not summary.failed
 
 
 def shows_a_listed_test_that_passes_once_is_printed_and_counts_neither_way() -> None:
-    verdict = judge([Result(TITLES[0]), Result(TITLES[1])], read_known_red(LINE, TITLES))
-    assert verdict.lines == (
+    summary = summarize([Result(TITLES[0]), Result(TITLES[1])], read_known_red(LINE, TITLES))
+    assert summary.lines == (
         "KNOWN RED module: test 1: passed: a lost message (issue 54)",
         "1 known red",
         "1 passed, 0 failed",
     )
-    assert not verdict.failed
+    assert not summary.failed
 
 
 def shows_a_run_of_listed_tests_alone_is_no_pass() -> None:
-    assert judge([Result(TITLES[1])], read_known_red(LINE, TITLES)).failed
+    assert summarize([Result(TITLES[1])], read_known_red(LINE, TITLES)).failed
 
 
 def shows_another_failure_beside_a_known_one_fails_the_run() -> None:
     results = [Result(TITLES[0]), Result(TITLES[1], "KeyError: 1"), Result(TITLES[2], "KeyError: 2")]
-    verdict = judge(results, read_known_red(LINE, TITLES))
-    assert verdict.failed and verdict.lines[-1] == "1 passed, 1 failed"
-    assert "FAILED module: test 2\n    KeyError: 2" in verdict.lines
+    summary = summarize(results, read_known_red(LINE, TITLES))
+    assert summary.failed and summary.lines[-1] == "1 passed, 1 failed"
+    assert "FAILED module: test 2\n    KeyError: 2" in summary.lines
 
 
 def shows_a_run_of_no_tests_is_no_pass() -> None:
-    assert judge([], ()).failed and judge([], ()).lines == ("0 passed, 0 failed",)
+    assert summarize([], ()).failed and summarize([], ()).lines == ("0 passed, 0 failed",)
 
 
 def shows_tests_that_run_alone_come_after_all_that_run_at_once_and_none_is_left_out() -> None:
-    tests = [Test(title, lambda: None, alone=number in (1, 3)) for number, title in enumerate(TITLES)]
-    together, alone = parted(tests)
-    assert [test.title for test in together] == [TITLES[0], TITLES[2], TITLES[4]]
-    assert [test.title for test in alone] == [TITLES[1], TITLES[3]]
+    tests = [Test(title, lambda: None, exclusive=number in (1, 3)) for number, title in enumerate(TITLES)]
+    parallel, exclusive = split_exclusive(tests)
+    assert [test.title for test in parallel] == [TITLES[0], TITLES[2], TITLES[4]]
+    assert [test.title for test in exclusive] == [TITLES[1], TITLES[3]]
 
 
 def shows_a_test_that_raises_is_a_result_with_what_it_raised() -> None:
     def fail() -> None:
         raise KeyError("x")
 
-    assert run_one(Test("a", fail)).problem == "KeyError: 'x'"
+    assert run_one(Test("a", fail)).failure == "KeyError: 'x'"
