--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -47,15 +47,15 @@
 
 
 def shows_a_vote_is_moved_only_to_a_store_that_is_available() -> None:
-    for voters, there, losses, wanted in (
+    for voters, candidates, losses, wanted in (
         ("abc", stores("a b c", S, S, G), 1, "abc"),  # no replacement: it keeps its vote
         ("abc", stores("a b c d", S, S, G), 1, "abd"),
         ("abc", stores("a b c d", S, S, L), 1, "abd"),  # replaced while it is still shutting down
         ("abc", stores("a b c", S, S, L), 1, "abc"),  # a plain restart with no spare store
         ("abc", stores("a b c d", S, S, A), 1, "abc"),  # away for a short time
         ("abc", stores("a b c d", S, S, U), 1, "abc"),  # it has not joined the new leader yet
-        ("abc", stores("a b c d", S, S, R, L), 1, "abc"),  # the other one leaves too
-        ("abc", stores("a b c d", S, S, G, R), 1, "abd"),  # better one that is being emptied than none
+        ("abc", stores("a b c d", S, S, R, L), 1, "abc"),  # the only spare store is leaving too
+        ("abc", stores("a b c d", S, S, G, R), 1, "abd"),  # a retiring store is better than none
         ("abc", stores("a b c d e", S, S, G, R), 1, "abe"),
         ("abc", stores("a b c d", S, S, R), 1, "abd"),
         ("abc", stores("a b c d", S, G, R), 1, "acd"),  # one spare: it replaces the store that is gone
@@ -68,13 +68,13 @@
         ("ab", stores("a b"), 1, "ab"),  # fewer stores than seats
         ("abc", [*stores("a b c d", S, S, G), Candidate("e", complete=True)], 1, "abd"),
     ):
-        found = "".join(select_voters(voters, there, Tolerance(losses)).voters)
-        assert found == wanted, (voters, there, found, wanted)
+        found = "".join(select_voters(voters, candidates, Tolerance(losses)).voters)
+        assert found == wanted, (voters, candidates, found, wanted)
 
 
-def shows_voters_stand_where_the_loss_of_a_zone_or_region_leaves_a_majority() -> None:
+def shows_voters_are_placed_so_that_the_loss_of_a_zone_or_region_leaves_a_majority() -> None:
     three = stores("a@p1 b@p2 c@q1 d@q2 e@r1 f@r2")
-    for voters, there, tolerance, wanted, bears in (
+    for voters, candidates, tolerance, wanted, bears in (
         ("", three, Tolerance(1, 1), "abc", (True, True, True)),
         ("", three, Tolerance(1, 0, 1), "ace", (True, True, True)),
         ("", stores("a@p b@p c@p d@q e@r"), Tolerance(1, 1), "ade", (True, True, True)),
@@ -85,48 +85,48 @@
             Tolerance(1, 1),
             "bcd",
             (True, False, True),
-        ),  # two zones: none can
+        ),  # with two zones no placement can
         ("", stores("a@p1 b@p2 c@q1 d@q2"), Tolerance(1, 0, 1), "abc", (True, True, False)),
         ("", stores("a@p b@q c@r d@s e@t"), Tolerance(0, 2), "abcde", (True, True, True)),
         ("abc", stores("a@p b@p c@p d@q e@r"), Tolerance(1, 0), "abc", (True, True, True)),  # not asked for
         ("abc", stores("a@p b@q c@r d@r", S, S, G), Tolerance(1, 1), "abd", (True, True, True)),
     ):
-        found = select_voters(voters, there, tolerance)
+        found = select_voters(voters, candidates, tolerance)
         assert "".join(found.voters) == wanted and found[1:] == bears, (found, wanted, bears)
     # Two of seven zones with two stores each: seven seats leave three of seven, nine leave five.
     assert seats_needed(stores("a@p b@p c@q d@q e@r f@r g@s h@s i@t j@t"), Tolerance(3, 2)) == 9
 
 
 @st.composite
-def fleets(draw: st.DrawFn) -> tuple[list[str], list[Candidate], Tolerance]:
+def selection_cases(draw: st.DrawFn) -> tuple[list[str], list[Candidate], Tolerance]:
     count = draw(st.integers(1, 9))
     zones = [f"{zone}" for zone in ("p1", "p2", "q1", "r1", "s1")]
-    there = [
+    candidates = [
         Candidate(f"s{at}", zone := draw(st.sampled_from(zones)), zone[0], draw(st.sampled_from(Presence)))
         for at in range(count)
     ]
-    voters = draw(st.lists(st.sampled_from([one.name for one in there]), unique=True, min_size=1))
+    voters = draw(st.lists(st.sampled_from([one.name for one in candidates]), unique=True, min_size=1))
     tolerance = Tolerance(draw(st.integers(0, 2)), draw(st.integers(0, 2)), draw(st.integers(0, 1)))
-    return voters, there, tolerance
+    return voters, candidates, tolerance
 
 
 @settings(max_examples=400, deadline=None, derandomize=True, database=None)
-@given(fleets())
-def shows_no_selection_removes_a_vote_that_is_needed(fleet) -> None:
-    voters, there, tolerance = fleet
-    found = select_voters(voters, there, tolerance)
-    by_name = {one.name: one for one in there}
+@given(selection_cases())
+def shows_no_selection_removes_a_vote_that_is_needed(case) -> None:
+    voters, candidates, tolerance = case
+    found = select_voters(voters, candidates, tolerance)
+    by_name = {one.name: one for one in candidates}
     chosen = [by_name[name] for name in found.voters]
     assert len(set(found.voters)) == len(found.voters)
     # Never fewer voters than required, unless there are fewer stores.
-    may = [one for one in there if one.name in voters or one.presence in (S, R)]
+    may = [one for one in candidates if one.name in voters or one.presence in (S, R)]
     assert len(chosen) >= min(2 * tolerance.machines + 1, len(may)), found
-    # Only a serving store becomes a voter; one that is being emptied does only if there is no other.
+    # Only a serving store becomes a voter; a retiring one does only if there is no other.
     assert all(one.presence in (S, R) for one in chosen if one.name not in voters), found
-    # A store that goes keeps its vote only if there is no replacement.
-    spare = [one for one in there if one.name not in (*voters, *found.voters) and one.presence is S]
-    going = [one for one in chosen if one.presence not in KEEPS_VOTE]
-    assert not (spare and going), (found, spare, going)
+    # A departing store keeps its vote only if there is no replacement.
+    spares = [one for one in candidates if one.name not in (*voters, *found.voters) and one.presence is S]
+    departing = [one for one in chosen if one.presence not in KEEPS_VOTE]
+    assert not (spares and departing), (found, spares, departing)
     # `bears_*` is true for each kind of loss by itself.
     for places, bears, place_of in (
         (tolerance.zones, found.bears_zones, lambda one: one.zone),
@@ -136,19 +136,19 @@
         lost = sum(counts[len(counts) - min(places, len(counts)) :])
         assert bears == (2 * (len(chosen) - lost) > len(chosen)), (found, chosen)
     # Once applied, the selection is stable.
-    assert select_voters(found.voters, there, tolerance).voters == found.voters, (found, there)
+    assert select_voters(found.voters, candidates, tolerance).voters == found.voters, (found, candidates)
 
 
 # How long a store may be away
 
 
-def shows_a_store_s_place_has_moved_before_the_next_one_may_be_lost() -> None:
+def shows_an_absent_store_is_replaced_before_the_next_one_may_be_lost() -> None:
     for sync_s in (1.0, 2.0, 3.0, 4.4, 6.0, 20.0):
         assert absence_limit_ms(sync_s) <= max(0.0, sync_s * 1000.0 - 1800.0)
         assert absence_limit_ms(sync_s) <= 0.4 * sync_s * 1000.0
 
 
-def shows_a_leader_forgets_who_was_away_when_it_led_before() -> None:
+def shows_a_new_leader_discards_absences_that_it_saw_in_an_earlier_term() -> None:
     tracker = PresenceTracker(1760.0)
     assert tracker.presence_of(0.0, "a", True) is S
     assert tracker.presence_of(100.0, "a", False) is A and tracker.presence_of(1900.0, "a", False) is G
@@ -184,27 +184,27 @@
     back = roster.with_stores(["e"])
     hosts = {"n": "e"}
     assert phase_of(back, "n", hosts) is None
-    there = stores("a b c e")
-    assert begin_retirement(back, "n", hosts, there, Tolerance(1)).retiring == {"n": "e"}
+    candidates = stores("a b c e")
+    assert begin_retirement(back, "n", hosts, candidates, Tolerance(1)).retiring == {"n": "e"}
 
 
 def shows_a_store_may_be_emptied_only_where_enough_stay() -> None:
     roster, hosts = Roster(tuple("abcd"), {"nd": "d"}), {f"n{name}": name for name in "abcd"}
-    for node, there, tolerance, status in (
+    for node, candidates, tolerance, status in (
         ("nx", stores("a b c d"), Tolerance(0), 404),
         ("nd", stores("a b c"), Tolerance(1), 200),
-        ("na", stores("a b c d"), Tolerance(1), 409),  # d is on its way already
+        ("na", stores("a b c d"), Tolerance(1), 409),  # d is retiring already
         ("na", stores("a b c d"), Tolerance(0), 200),
         ("na", stores("a b c d", S, L), Tolerance(0), 200),
         ("na", stores("a b c d", S, L, G), Tolerance(0), 409),
         ("na", stores("a@p b@q c@r d@p"), Tolerance(0, 1), 409),  # two zones would be left
     ):
         try:
-            assert begin_retirement(roster, node, hosts, there, tolerance).retiring.get(node)
+            assert begin_retirement(roster, node, hosts, candidates, tolerance).retiring.get(node)
             found = 200
         except RetirementRefusedError as refused:
             found = refused.status
-        assert found == status, (node, there, found)
+        assert found == status, (node, candidates, found)
 
 
 def shows_a_store_that_leaves_is_removed_as_soon_as_its_replicas_are_elsewhere() -> None:
@@ -274,7 +274,7 @@
     assert [answer.status for answer in answers] == [200, 409, 200], answers
 
 
-def shows_a_process_that_does_not_lead_wants_no_other_voters() -> None:
+def shows_a_process_that_does_not_lead_requests_no_other_voters() -> None:
     async def scene() -> None:
         control, clock = start_control()
         assert await run_until(control, clock, lambda: control.leads)
@@ -285,18 +285,18 @@
     asyncio.run(scene())
 
 
-# Random simulations, and planted mistakes
+# Random simulations, and mutations that they must detect
 
 
-class TwoAtOnce(MembershipSimulation):
-    """Changes voters again before the last change is committed."""
+class ConcurrentChanges(MembershipSimulation):
+    """Changes voters again before the previous change is committed."""
 
     def may_change(self) -> bool:
         return True
 
 
 class VoteRemovedEarly(MembershipSimulation):
-    """A store that goes loses its vote without a replacement."""
+    """A departing store loses its vote without a replacement."""
 
     def select(self, candidates: list[Candidate]) -> tuple[str, ...]:
         wanted = super().select(candidates)
@@ -304,7 +304,7 @@
         return tuple(name for name in wanted if name in keeps)
 
 
-class RemovedFirst(MembershipSimulation):
+class RemovedBeforeAdded(MembershipSimulation):
     """The old voter is removed before the new one is added."""
 
     def next_voters(self, wanted: tuple[str, ...]) -> dict[str, int] | None:
@@ -314,8 +314,8 @@
         return super().next_voters(wanted)
 
 
-class CheckedOutside(MembershipSimulation):
-    """Checks whether enough stores are left before the change has its turn, not when it is applied."""
+class CheckedTooEarly(MembershipSimulation):
+    """Checks whether enough stores are left when the change is queued, not when it is applied."""
 
     def retire_on(self, node: str) -> Callable[[], Roster]:
         stores = self.candidates(self.roster.stores)
@@ -350,24 +350,26 @@
         return IgnoresLeaving(self.patience)
 
 
-class EmptiedWhileVoting(MembershipSimulation):
-    """A store is removed as emptied while it still votes."""
+class RemovedWhileVoting(MembershipSimulation):
+    """A retiring store is removed while it is still a voter."""
 
     def may_strike(self, name: str) -> bool:
         return not self.coordinator.has_returned(name)
 
 
-PLANTED = (
-    TwoAtOnce,
+MUTATIONS = (
+    ConcurrentChanges,
     VoteRemovedEarly,
-    RemovedFirst,
-    CheckedOutside,
+    RemovedBeforeAdded,
+    CheckedTooEarly,
     FixedTimes,
-    EmptiedWhileVoting,
+    RemovedWhileVoting,
 )
 
 
-def walk(seed: int, make: type[MembershipSimulation] = MembershipSimulation) -> MembershipSimulation:
+def make_simulation(
+    seed: int, make: type[MembershipSimulation] = MembershipSimulation
+) -> MembershipSimulation:
     """Every fourth simulation has seven stores, of which two may be lost at once."""
     two = seed % 4 == 0
     return make(seed, 7 if two else 4, Tolerance(2 if two else 1), 6.0 if seed % 2 else 4.4)
@@ -376,20 +378,20 @@
 def shows_no_second_loss_after_a_repair_or_replacement_leaves_too_few() -> None:
     counts: Counter = Counter()
     for seed in range(40):
-        counts.update(walk(seed).play().counts)
+        counts.update(make_simulation(seed).play().counts)
     assert counts["losses"] > 100 and counts["voters"] > 200, counts
     assert counts["retired"] > 60 and counts["refused"] > 60 and counts["leaders"] > 90, counts
 
 
-def shows_each_planted_mistake_of_the_membership_is_found() -> None:
-    for make in PLANTED:
+def shows_each_mutation_of_the_membership_logic_is_detected() -> None:
+    for make in MUTATIONS:
         for seed in range(60):
             try:
-                walk(seed, make).play()
+                make_simulation(seed, make).play()
             except Wrong:
                 break
         else:
-            raise AssertionError(f"{make.__name__} was not found in 60 walks")
+            raise AssertionError(f"{make.__name__} was not detected in 60 simulations")
 
 
 class EvidenceTooLate(MembershipSimulation):
@@ -413,93 +415,93 @@
         return found
 
 
-def lost_as_one_goes(seed: int, make: type[MembershipSimulation]) -> MembershipSimulation:
+def lose_store_during_departure(seed: int, make: type[MembershipSimulation]) -> MembershipSimulation:
     """A store that is being replaced exits just before its loss stops counting; another loses power just
     after."""
-    walk = make(seed).run(6000.0)
-    old, other, *_ = [one for one in walk.stores.values() if one.name != walk.leader]
-    walk.loses(old, walk.now + walk.sync_ms, "to be replaced")
-    walk.successor()
-    walk.later(1000.0, walk.leave, old)
-    walk.later(walk.sync_ms - 30.0, walk.end_of, old, False)
-    walk.run(6000.0 + walk.sync_ms + 1.0)
-    walk.loses(other, 1e12, "without power")
-    walk.stop(other, True)
-    return walk.run(20_000.0)
-
-
-def shows_a_loss_just_as_another_goes_for_good_leaves_its_shards_to_others() -> None:
+    simulation = make(seed).run(6000.0)
+    old, other, *_ = [one for one in simulation.stores.values() if one.name != simulation.leader]
+    simulation.loses(old, simulation.now + simulation.sync_ms, "to be replaced")
+    simulation.successor()
+    simulation.later(1000.0, simulation.leave, old)
+    simulation.later(simulation.sync_ms - 30.0, simulation.end_of, old, False)
+    simulation.run(6000.0 + simulation.sync_ms + 1.0)
+    simulation.loses(other, 1e12, "without power")
+    simulation.stop(other, True)
+    return simulation.run(20_000.0)
+
+
+def shows_a_loss_just_as_another_store_leaves_for_good_moves_its_shards_to_others() -> None:
     for seed in range(10):
-        assert lost_as_one_goes(seed, MembershipSimulation).blocked_at == 0.0
+        assert lose_store_during_departure(seed, MembershipSimulation).blocked_at == 0.0
     found = 0
     for seed in range(10):
         try:
-            lost_as_one_goes(seed, EvidenceTooLate)
+            lose_store_during_departure(seed, EvidenceTooLate)
         except Wrong as wrong:
             found += str(wrong).startswith("TAKEOVER")
     assert found >= 6, found
 
 
-class CountedTooSoon(MembershipSimulation):
+class CountedBeforeCaughtUp(MembershipSimulation):
     """A new voter is counted before it has caught up."""
 
     def caught_up(self, store: SimulatedStore) -> bool:
         return store.up
 
 
-def lost_as_one_comes(seed: int, make: type[MembershipSimulation]) -> None:
+def lose_store_during_replacement(seed: int, make: type[MembershipSimulation]) -> None:
     """One of three stores is being emptied and a fourth replaces it; at that moment another loses power."""
-    walk = make(seed, 3).run(6000.0)
-    new = walk.successor()
-    new.ready_at = walk.now + 2500.0
-    going, other = [name for name in sorted(walk.voters) if name != walk.leader]
+    simulation = make(seed, 3).run(6000.0)
+    new = simulation.successor()
+    new.ready_at = simulation.now + 2500.0
+    departing, other = [name for name in sorted(simulation.voters) if name != simulation.leader]
     for turn in range(400):
-        if turn % 20 == 0 and not walk.roster.retiring:
-            walk.retire(going)
-        walk.run(6000.0 + 10.0 * (turn + 1))
-        if new.name in (walk.pending or walk.voters):
+        if turn % 20 == 0 and not simulation.roster.retiring:
+            simulation.retire(departing)
+        simulation.run(6000.0 + 10.0 * (turn + 1))
+        if new.name in (simulation.pending or simulation.voters):
             break
     else:
-        raise AssertionError(walk.told())
-    walk.loses(walk.stores[other], 1e12, "without power")
-    walk.stop(walk.stores[other], True)
-    walk.run(walk.now + 3000.0)
+        raise AssertionError(simulation.told())
+    simulation.loses(simulation.stores[other], 1e12, "without power")
+    simulation.stop(simulation.stores[other], True)
+    simulation.run(simulation.now + 3000.0)
 
 
 def shows_a_loss_just_as_a_new_voter_is_added_leaves_a_majority() -> None:
     found = 0
     for seed in range(10):
-        lost_as_one_comes(seed, MembershipSimulation)
+        lose_store_during_replacement(seed, MembershipSimulation)
         try:
-            lost_as_one_comes(seed, CountedTooSoon)
+            lose_store_during_replacement(seed, CountedBeforeCaughtUp)
         except Wrong as wrong:
             found += str(wrong).startswith("MAJORITY")
     assert found == 10, found
 
 
-def roll(stores: int, losses: int, gap: float) -> MembershipSimulation:
+def restart_in_turn(stores: int, losses: int, gap: float) -> MembershipSimulation:
     """Stops and starts each store in turn, the next one `gap` ms after the last one is back."""
-    walk = MembershipSimulation(stores, stores, Tolerance(losses)).run(6000.0)
-    walk.counts["voters"] = 0
-    for store in list(walk.stores.values()):
-        walk.leave(store)
-        walk.run(walk.now + 300.0)
-        walk.stop(store)
-        walk.run(walk.now + 900.0)
-        walk.start(store)
-        walk.run(walk.now + gap)
-    return walk.run(walk.now + 10_000.0)
-
-
-def shows_stores_restarted_in_turn_always_have_a_majority_and_hand_on_each_vote_once() -> None:
+    simulation = MembershipSimulation(stores, stores, Tolerance(losses)).run(6000.0)
+    simulation.counts["voters"] = 0
+    for store in list(simulation.stores.values()):
+        simulation.leave(store)
+        simulation.run(simulation.now + 300.0)
+        simulation.stop(store)
+        simulation.run(simulation.now + 900.0)
+        simulation.start(store)
+        simulation.run(simulation.now + gap)
+    return simulation.run(simulation.now + 10_000.0)
+
+
+def shows_stores_restarted_in_turn_always_have_a_majority_and_move_each_vote_once() -> None:
     for stores, losses, most in ((3, 1, 0), (4, 1, 8), (7, 2, 14), (5, 2, 0)):
         for gap in (700.0, 5000.0):
-            walk = roll(stores, losses, gap)  # checks its invariants at each step
-            assert walk.counts["voters"] <= most, (stores, gap, walk.counts, walk.story)
-            assert len(walk.voters) == 2 * losses + 1, walk.story
+            simulation = restart_in_turn(stores, losses, gap)  # checks its invariants at each step
+            assert simulation.counts["voters"] <= most, (stores, gap, simulation.counts, simulation.story)
+            assert len(simulation.voters) == 2 * losses + 1, simulation.story
 
 
-def shows_a_voter_that_is_emptied_where_fewer_are_enough_votes_no_more() -> None:
+def shows_a_retiring_voter_loses_its_vote_where_fewer_voters_suffice() -> None:
     group = Group("abc")
     leader = group.wait_for_leader()
     stay = sorted(name for name in "abc" if name != leader.name)[:1] + [leader.name]
@@ -507,6 +509,6 @@
     assert group.run(3000.0, lambda: sorted(group.wait_for_leader().stable_voters() or {}) == sorted(stay))
 
 
-def shows_voters_bear_the_loss_of_a_zone_again_after_one_was_lost() -> None:
+def shows_voters_tolerate_the_loss_of_a_zone_again_after_one_was_lost() -> None:
     for seed in range(40):
         MembershipSimulation(seed, 6, Tolerance(1, 1), 6.0, zones=3).play()
