--- a/sableford/fleet/actor.py
+++ b/sableford/fleet/actor.py
@@ -29,7 +29,15 @@
 from sableford.fleet.words import Post
 from sableford.net.limits import Limits
 from sableford.net.log import Log
-from sableford.net.mail import Asked, Clock, FleetSeen, Leave, Mailbox, Say, Word
+from sableford.net.messages import (
+    Clock,
+    FleetStatus,
+    Mailbox,
+    PeerPayload,
+    RecordRequest,
+    SendToPeers,
+    Shutdown,
+)
 
 AGAIN = 100.0  # ms between two tries at an address or a folder that another process still holds
 REWRITE = 1000.0  # ms between two tries at a disk that refuses
@@ -101,16 +109,16 @@
         try:
             await self._run(desk)
         except Exception as problem:
-            self._log.say("fleet_failed", problem=repr(problem), at=_where(problem))
+            self._log.event("fleet_failed", problem=repr(problem), at=_where(problem))
             if self._line is not None:
                 self._line.close()
             for reply in self._replies.values():
                 reply.put((False, 0, "the fleet's part has failed"))
             told = {"name": self._seat.name, "failed": repr(problem)}
-            self._console.put(FleetSeen(msgspec.json.encode(told)))
+            self._console.put(FleetStatus(msgspec.json.encode(told)))
         while True:
             for message in await self.mail.take():
-                if isinstance(message, Asked):
+                if isinstance(message, RecordRequest):
                     message.reply.put((False, 0, "the fleet's part has failed"))
 
     async def _run(self, desk: Mailbox) -> None:
@@ -120,15 +128,15 @@
                 match message:
                     case _Datagram(data, source):
                         self._hear(now, data, source, desk)
-                    case Say(peers, word):
+                    case SendToPeers(peers, word):
                         self._tell(peers, word)
-                    case Asked():
+                    case RecordRequest():
                         self._ask(now, message)
                     case _Opened(found, problem):
                         self._begin(now, found, problem)
                     case _Stored(number, problem):
                         self._stored(now, number, problem)
-                    case Leave() if self._members is not None:
+                    case Shutdown() if self._members is not None:
                         self._do(self._members.leave())
             await self._tick(self._clock.now())
 
@@ -164,12 +172,12 @@
             self._record.handle_commit_hint(now, newest)
         if now >= self._seen_at:
             self._seen_at = now + SEEN
-            self._console.put(FleetSeen(msgspec.json.encode(self.picture())))
+            self._console.put(FleetStatus(msgspec.json.encode(self.picture())))
         if now >= self._counted_at + COUNTED:
             self._counted_at = now
             counted = dict(self._post.passed_over)
             if counted != self._counted:
-                self._log.say("words_passed_over", **counted)
+                self._log.event("words_passed_over", **counted)
                 self._counted = counted
 
     # The address
@@ -182,7 +190,7 @@
             self._line, _ = await loop.create_datagram_endpoint(lambda: _Ear(self.mail), local_addr=place)
         except OSError as problem:
             if self._said != "deaf":
-                self._log.say("fleet_deaf", problem=repr(problem))
+                self._log.event("fleet_deaf", problem=repr(problem))
             self._said = "deaf"
             return
         with suppress(OSError):
@@ -193,7 +201,7 @@
         self._members = Members(
             self._seat.name, self._birth, peers[self._seat.name], peers, self._clock.now(), self._seed
         )
-        self._log.say("fleet_heard", listen=place, peers=len(peers), voters=self._seat.voters)
+        self._log.event("fleet_heard", listen=place, peers=len(peers), voters=self._seat.voters)
 
     def _hear(self, now: float, data: bytes, source: tuple[str, int], desk: Mailbox) -> None:
         if self._members is None or (heard := self._post.open(data, source)) is None:
@@ -202,7 +210,7 @@
         match word:
             case Told(text):
                 if sender in self._seat.peers and sender != self._seat.name:
-                    desk.put(Word(self._names.index(sender), text))
+                    desk.put(PeerPayload(self._names.index(sender), text))
             case _ if isinstance(word, member_words.Words):
                 self._do(self._members.heard(now, sender, birth, word))
             case _:
@@ -229,7 +237,7 @@
             for data in self._post.seal(word):
                 self._line.sendto(data, at)
         except ValueError as problem:
-            self._log.say("word_too_long", to=to, problem=str(problem))
+            self._log.event("word_too_long", to=to, problem=str(problem))
 
     # The folder
 
@@ -252,15 +260,15 @@
         self._opening, self._try_at = False, now + REWRITE
         if found is None:
             if self._disk != problem:
-                self._log.say("record_folder", folder=self._seat.folder, problem=problem)
+                self._log.event("record_folder", folder=self._seat.folder, problem=problem)
             self._disk = problem
             return
         for said in found.said:
-            self._log.say("record_folder", folder=self._seat.folder, problem=said)
+            self._log.event("record_folder", folder=self._seat.folder, problem=said)
         self._disk = ""
         self._record = RaftNode(self._seat.name, self._birth, self._seat.voters, found.held, now, self._seed)
         record = self._record
-        self._log.say("record_opened", last=record.last, term=record.term, standing=record.standing.name)
+        self._log.event("record_opened", last=record.last, term=record.term, standing=record.standing.name)
         if found.failed:
             self._fail(now, found.failed)
 
@@ -286,7 +294,7 @@
             self._fail(now, problem)
         else:
             if self._disk:
-                self._log.say("record_disk", problem="")
+                self._log.event("record_disk", problem="")
             self._disk = ""
             self._do(self._record.handle_persisted(now, number))
         self._keep()
@@ -296,7 +304,7 @@
         if not self._disk or self._rewrite_at is None:
             self._rewrite_at = now + REWRITE
         if not self._disk:  # what follows from the first failure has words of its own
-            self._log.say("record_disk", problem=problem)
+            self._log.event("record_disk", problem=problem)
             self._disk = problem
         self._due.clear()
         self._do(self._record.handle_disk_failure(now, problem))
@@ -314,18 +322,18 @@
                     if (reply := self._replies.pop(number, None)) is not None:
                         reply.put((yes, index, why))
                 case LogEvent(event, facts):
-                    self._log.say(event, **facts)
+                    self._log.event(event, **facts)
                 case Changed(name, state, birth, why):
-                    self._log.say("member", member=name, state=state.name, birth=birth, why=why)
+                    self._log.event("member", member=name, state=state.name, birth=birth, why=why)
                 case Twin(name, births):
-                    self._log.say("twins", member=name, births=births)
+                    self._log.event("twins", member=name, births=births)
                 case raft_effects.Committed() | raft_effects.SnapshotInstalled():
                     pass
                 case _:
                     self._send(effect.to, effect.place, effect.message)
         self._keep()
 
-    def _ask(self, now: float, message: Asked) -> None:
+    def _ask(self, now: float, message: RecordRequest) -> None:
         """A call at the door: a key's value read or set."""
         if self._record is None:
             message.reply.put((False, 0, "the folder is not open"))
@@ -334,7 +342,7 @@
         number, effects = self._record.propose(now, data)
         self._replies[number] = message.reply if data is not None else _Reading(message, self._record)
         self._do(effects)
-        asyncio.get_running_loop().call_later(self._limits.call_in / 1000.0, self._drop, number)
+        asyncio.get_running_loop().call_later(self._limits.operator_call / 1000.0, self._drop, number)
 
     def _drop(self, number: int) -> None:
         if self._replies.pop(number, None) is not None and self._record is not None:
@@ -379,7 +387,7 @@
 class _Reading:
     """Takes a read's answer and passes on the value that stood there by then."""
 
-    def __init__(self, message: Asked, record: RaftNode) -> None:
+    def __init__(self, message: RecordRequest, record: RaftNode) -> None:
         self._message, self._record = message, record
 
     def put(self, answer: tuple[bool, int, str]) -> None:
--- a/sableford/net/gate_messages.py
+++ b/sableford/net/acceptor_messages.py
@@ -8,20 +8,20 @@
     from sableford.net.client import Client
 
 
-class Resting(NamedTuple):
+class Idle(NamedTuple):
     """Between two requests; `proved` where a txn was answered on it."""
 
     client: "Client"
-    proved: bool
+    served: bool
 
 
-class Busy(NamedTuple):
+class RequestStarted(NamedTuple):
     """A request has begun to come."""
 
     client: "Client"
 
 
-class Whole(NamedTuple):
+class RequestComplete(NamedTuple):
     """A request has come whole."""
 
     client: "Client"
@@ -39,15 +39,15 @@
     client: "Client"
 
 
-class Want(NamedTuple):
+class BodyReservation(NamedTuple):
     """A body of so many bytes is to come."""
 
     client: "Client"
     size: int
 
 
-class Turned(NamedTuple):
+class RequestRejected(NamedTuple):
     """A request got a plain 4xx or 5xx."""
 
     status: int
-    why: str
+    reason: str
--- a/sableford/net/cli.py
+++ b/sableford/net/cli.py
@@ -15,116 +15,141 @@
 
 import sableford
 from sableford.common.log_writer import LogWriter
-from sableford.net.berth import Berth, Keeper, Reread, read_berth
+from sableford.net.acceptor import Acceptor
 from sableford.net.console import Console
-from sableford.net.desk import Desk
-from sableford.net.gate import Gate
+from sableford.net.discovery import DiscoveryClient, first_list, inherited_list
+from sableford.net.dispatcher import Dispatcher
 from sableford.net.handover import Handover
 from sableford.net.log import Log
-from sableford.net.mail import Clock, Leave, Mailbox, Turn
-from sableford.net.peers import Peers
-from sableford.net.roster import Roster, first_list, inherited
+from sableford.net.messages import Clock, Mailbox, Shutdown, WarmUpOwnership
+from sableford.net.peer_transport import PeerTransport
+from sableford.net.startup_config import ConfigReloader, ReloadConfig, StartupConfig, read_config
 
-BAD_START, FAILED = 2, 70
-LAST_LINES = 200.0  # ms for the last lines of the log to be read: an end waits for no reader
+EXIT_BAD_CONFIG, EXIT_ACTOR_FAILED = 2, 70
+LOG_FLUSH_MS = 200.0  # ms for the last lines of the log to be read: an end waits for no reader
 
 
-def listening(field: str, place: tuple[str, int], berth: Berth) -> socket.socket:
+def open_listener(field: str, address: tuple[str, int], config: StartupConfig) -> socket.socket:
     """A listening socket; a kill a moment ago does not keep the address taken."""
-    family = socket.AF_INET6 if ":" in place[0] else socket.AF_INET
+    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if berth.console is not None and field == "listen":  # the next version comes up beside this one
+        if config.console is not None and field == "listen":  # the next version comes up beside this one
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         # What a connection may hold unread is bounded there too, and handed down to each.
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, berth.limits.chunk)
-        listener.bind(place)
-        listener.listen(berth.limits.backlog)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, config.limits.read_size)
+        listener.bind(address)
+        listener.listen(config.limits.backlog)
     except OSError as problem:
         listener.close()
-        raise ValueError(f"{field}: {place[0]}:{place[1]}: {problem.strerror}") from problem
+        raise ValueError(f"{field}: {address[0]}:{address[1]}: {problem.strerror}") from problem
     listener.setblocking(False)
     return listener
 
 
-async def run(berth: Berth, path: str, log: Log, talk: bool = False, fleet: bool = False) -> int:
+async def run(config: StartupConfig, path: str, log: Log, talk: bool = False, fleet: bool = False) -> int:
     """Start every actor, and end when the gate has."""
-    loop, charter = asyncio.get_running_loop(), berth.charter
+    loop, settings = asyncio.get_running_loop(), config.settings
     loop.set_exception_handler(
-        lambda loop, told: log.say("unhandled", **{k: repr(v) for k, v in told.items()})
+        lambda loop, message: log.event("unhandled", **{k: repr(v) for k, v in message.items()})
     )
     clock = Clock(loop)
-    place = "{}:{}".format(*berth.listen) if berth.console is not None else None
-    handover = Handover(berth.name, place, clock, berth.limits, log)
-    rules, processes, kept = handover.begin()
-    berth = berth._replace(limits=berth.shared(processes) if processes > 1 else berth.limits)
-    limits = berth.limits
-    listener = listening("listen", berth.listen, berth)
-    first, revision = first_list(berth.known, charter, log)
-    if kept is not None and (later := inherited(kept.listing, charter, log)) is not None:
-        first, revision = later, None
-    roster = Roster(berth.discovery, revision, limits, charter, log)
-    peers = Peers(berth.peers, charter.config.position, limits, log)
-    doors = Mailbox()
-    one = joined(berth.fleet, berth.seed, clock, limits, log, doors) if berth.fleet is not None else None
-    spoken = one.mail if one is not None else peers.mail
-    desk = Desk(charter, berth.seed, roster.mail, clock, limits, log, spoken, doors)
-    gate = Gate(listener, desk.mail, clock, limits, charter, log)
-    if handover.on():
-        desk.inherit(handover.mail, kept.legacy if kept is not None else None)
-    keeper = Keeper(path, log, processes, talk, fleet)
-    for told in (*rules, Turn(handover.holds()), first):  # lie there before any txn can
-        desk.mail.put(told)
-    console = Console(doors, handover.mail, clock, limits, log, one.mail if one is not None else None)
-    if berth.console is not None:
-        console.open(listening("console", berth.console, berth))
-
-    def leave() -> None:
-        console.mail.put_first(Leave())
-        if one is not None:
-            one.mail.put(Leave())
-        handover.mail.put_first(Leave())  # which tells the gate whether another process serves
+    address = "{}:{}".format(*config.listen) if config.console is not None else None
+    handover = Handover(config.name, address, clock, config.limits, log)
+    overrides, processes, snapshot = handover.start()
+    config = config._replace(limits=config.limits_per_process(processes) if processes > 1 else config.limits)
+    limits = config.limits
+    listener = open_listener("listen", config.listen, config)
+    worker_list, revision = first_list(config.known, settings, log)
+    if snapshot is not None and (inherited := inherited_list(snapshot.listing, settings, log)) is not None:
+        worker_list, revision = inherited, None
+    discovery = DiscoveryClient(config.discovery, revision, limits, settings, log)
+    peers = PeerTransport(config.peers, settings.config.position, limits, log)
+    console_mailbox = Mailbox()
+    fleet_actor = (
+        create_fleet_actor(config.fleet, config.seed, clock, limits, log, console_mailbox)
+        if config.fleet is not None
+        else None
+    )
+    peer_mailbox = fleet_actor.mailbox if fleet_actor is not None else peers.mailbox
+    dispatcher = Dispatcher(
+        settings, config.seed, discovery.mailbox, clock, limits, log, peer_mailbox, console_mailbox
+    )
+    acceptor = Acceptor(listener, dispatcher.mailbox, clock, limits, settings, log)
+    if handover.enabled():
+        dispatcher.inherit(handover.mailbox, snapshot.learned if snapshot is not None else None)
+    config_reloader = ConfigReloader(path, log, processes, talk, fleet)
+    for message in (
+        *overrides,
+        WarmUpOwnership(handover.owns_warm_up()),
+        worker_list,
+    ):  # lie there before any txn can
+        dispatcher.mailbox.put(message)
+    console = Console(
+        console_mailbox,
+        handover.mailbox,
+        clock,
+        limits,
+        log,
+        fleet_actor.mailbox if fleet_actor is not None else None,
+    )
+    if config.console is not None:
+        console.open(open_listener("console", config.console, config))
+
+    def request_shutdown() -> None:
+        console.mailbox.put_first(Shutdown())
+        if fleet_actor is not None:
+            fleet_actor.mailbox.put(Shutdown())
+        handover.mailbox.put_first(Shutdown())  # which tells the gate whether another process serves
 
     for stop in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(stop, leave)
-    loop.add_signal_handler(signal.SIGHUP, keeper.mail.put, Reread())
-    others = (peers.mail, roster.mail, desk.mail, gate.mail)
+        loop.add_signal_handler(stop, request_shutdown)
+    loop.add_signal_handler(signal.SIGHUP, config_reloader.mailbox.put, ReloadConfig())
+    others = (peers.mailbox, discovery.mailbox, dispatcher.mailbox, acceptor.mailbox)
     actors = {
-        loop.create_task(desk.run(), name="desk"): desk,
-        loop.create_task(roster.run(desk.mail), name="roster"): roster,
-        loop.create_task(gate.run(), name="gate"): gate,
+        loop.create_task(dispatcher.run(), name="desk"): dispatcher,
+        loop.create_task(discovery.run(dispatcher.mailbox), name="roster"): discovery,
+        loop.create_task(acceptor.run(), name="gate"): acceptor,
         loop.create_task(console.run(), name="console"): console,
-        loop.create_task(handover.run(desk.mail, gate.mail, keeper.mail), name="handover"): handover,
-        loop.create_task(keeper.run(berth, others), name="keeper"): keeper,
-        loop.create_task(peers.run(desk.mail), name="peers"): peers,
+        loop.create_task(
+            handover.run(dispatcher.mailbox, acceptor.mailbox, config_reloader.mailbox), name="handover"
+        ): handover,
+        loop.create_task(config_reloader.run(config, others), name="keeper"): config_reloader,
+        loop.create_task(peers.run(dispatcher.mailbox), name="peers"): peers,
     }
-    if one is not None:
-        actors[loop.create_task(one.run(desk.mail), name="fleet")] = one
-    log.say("serving", listen=berth.listen, console=berth.console, clients=limits.clients, lines=limits.lines)
+    if fleet_actor is not None:
+        actors[loop.create_task(fleet_actor.run(dispatcher.mailbox), name="fleet")] = fleet_actor
+    log.event(
+        "serving",
+        listen=config.listen,
+        console=config.console,
+        clients=limits.clients,
+        lines=limits.worker_connections,
+    )
     done, _ = await asyncio.wait(actors, return_when=asyncio.FIRST_COMPLETED)
     for task in done:
         if (problem := task.exception()) is not None:
             cause = repr(problem.__cause__ or problem)
-            log.say("actor_failed", actor=task.get_name(), problem=repr(problem), cause=cause)
-            await asyncio.sleep(limits.last / 1000.0)
-            return FAILED
-    log.say("left")
+            log.event("actor_failed", actor=task.get_name(), problem=repr(problem), cause=cause)
+            await asyncio.sleep(limits.failure_flush / 1000.0)
+            return EXIT_ACTOR_FAILED
+    log.event("left")
     await handover.close()
     return 0
 
 
-def joined(*given: object) -> object:
+def create_fleet_actor(*given: object) -> object:
     """The fleet's actor, which an ordinary start doesn't pay for."""
     return import_module("sableford.fleet.actor").Fleet(*given)
 
 
-def _told(problem: ValueError) -> None:
+def _exit_bad_config(problem: ValueError) -> None:
     click.echo(f"sableford: {problem}".replace("\n", " "), err=True)
-    sys.exit(BAD_START)
+    sys.exit(EXIT_BAD_CONFIG)
 
 
-_path = click.option(
+_config_option = click.option(
     "--config",
     envvar="BALANCER_CONFIG",
     required=True,
@@ -133,27 +158,27 @@
 )
 
 
-class _Lazy(click.Group):
+class _LazyGroup(click.Group):
     """Commands that an ordinary start must not pay for are imported when they are called."""
 
-    LATER: ClassVar = {"rig": "sableford.rig.cli", "fleet": "sableford.fleet.cli"}
+    LAZY_COMMANDS: ClassVar = {"rig": "sableford.rig.cli", "fleet": "sableford.fleet.cli"}
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *self.LATER])
+        return sorted([*super().list_commands(ctx), *self.LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        if name in self.LATER:
-            return getattr(import_module(self.LATER[name]), name)
+        if name in self.LAZY_COMMANDS:
+            return getattr(import_module(self.LAZY_COMMANDS[name]), name)
         return super().get_command(ctx, name)
 
 
-@click.group(cls=_Lazy)
+@click.group(cls=_LazyGroup)
 def main() -> None:
     """A dispatcher that pushes txns to workers on aged copies of their queue figures."""
 
 
 @main.command()
-@_path
+@_config_option
 @click.option("--each-txn", is_flag=True, help="Log each txn's postings and answers too.")
 @click.option("--talk", is_flag=True, help="Speak to the peers that the file names, by UDP.")
 @click.option("--fleet", is_flag=True, help="Join the fleet that the file names, by UDP.")
@@ -165,44 +190,44 @@
     """
     sink = LogWriter(sys.__stdout__.fileno())
     try:
-        berth = read_berth(config, talk, fleet)
+        startup = read_config(config, talk, fleet)
         gc.freeze()
-        code = asyncio.run(run(berth, config, Log(berth.name, each_txn, sink), talk, fleet))
+        code = asyncio.run(run(startup, config, Log(startup.name, each_txn, sink), talk, fleet))
     except ValueError as problem:
-        _told(problem)
+        _exit_bad_config(problem)
     finally:
-        sink.close(LAST_LINES)
+        sink.close(LOG_FLUSH_MS)
     sys.exit(code)
 
 
 @main.command()
-@_path
+@_config_option
 @click.option("--talk", is_flag=True, help="As it would be read for `serve --talk`.")
 @click.option("--fleet", is_flag=True, help="As it would be read for `serve --fleet`.")
 def check(config: str, talk: bool, fleet: bool) -> None:
     """Read a configuration and say what was understood, or what is wrong."""
     try:
-        berth = read_berth(config, talk, fleet)
+        startup = read_config(config, talk, fleet)
     except ValueError as problem:
-        _told(problem)
-    charter, limits = berth.charter, berth.limits
-    click.echo(f"{berth.name} listens on {berth.listen[0]}:{berth.listen[1]}")
-    if berth.console is not None:
-        click.echo(f"operators call {berth.console[0]}:{berth.console[1]}")
-    click.echo(f"schemes: {', '.join(charter.schemes)}; schedulers: {charter.config.schedulers}")
-    if berth.peers:
+        _exit_bad_config(problem)
+    settings, limits = startup.settings, startup.limits
+    click.echo(f"{startup.name} listens on {startup.listen[0]}:{startup.listen[1]}")
+    if startup.console is not None:
+        click.echo(f"operators call {startup.console[0]}:{startup.console[1]}")
+    click.echo(f"schemes: {', '.join(settings.schemes)}; schedulers: {settings.config.schedulers}")
+    if startup.peers:
         click.echo(
-            f"speaks to {len(berth.peers) - 1} peers, listens on {berth.peers[charter.config.position]}"
+            f"speaks to {len(startup.peers) - 1} peers, listens on {startup.peers[settings.config.position]}"
         )
-    if berth.fleet is not None:
-        place = berth.fleet.peers[berth.fleet.name]
+    if startup.fleet is not None:
+        own = startup.fleet.peers[startup.fleet.name]
         click.echo(
-            f"in a fleet of {len(berth.fleet.peers)}, voters {', '.join(berth.fleet.voters)}, at {place}"
+            f"in a fleet of {len(startup.fleet.peers)}, voters {', '.join(startup.fleet.voters)}, at {own}"
         )
-    click.echo(f"sockets: {limits.clients} for clients, {limits.lines} for workers")
+    click.echo(f"sockets: {limits.clients} for clients, {limits.worker_connections} for workers")
 
 
 @main.command("version")
-def told_version() -> None:
+def print_version() -> None:
     """Print the version."""
     click.echo(sableford.__version__)
--- a/sableford/net/client.py
+++ b/sableford/net/client.py
@@ -14,368 +14,405 @@
 import h11
 
 from sableford.net import wire
-from sableford.net.gate_messages import Busy, Closed, Lingering, Resting, Turned, Want, Whole
-from sableford.net.http import Peer, admit
-from sableford.net.mail import (
-    Amend,
-    Clash,
-    Cut,
+from sableford.net.acceptor_messages import (
+    BodyReservation,
+    Closed,
+    Idle,
+    Lingering,
+    RequestComplete,
+    RequestRejected,
+    RequestStarted,
+)
+from sableford.net.http import HttpConnection, admit
+from sableford.net.messages import (
+    BodyGrant,
+    ClientGone,
+    CloseIfIdle,
+    CloseIfIncomplete,
+    DuplicateId,
     Fail,
-    Gone,
-    Leave,
     Mailbox,
     Refuse,
     Request,
-    Room,
+    SettingsChanged,
     Settle,
-    Shut,
+    Shutdown,
 )
 
 if TYPE_CHECKING:
-    from sableford.net.gate import Gate
+    from sableford.net.acceptor import Acceptor
 
-ANSWERS = (Settle, Refuse, Fail, Clash)
+ANSWERS = (Settle, Refuse, Fail, DuplicateId)
 
 
-class Malformed(Exception):
+class InvalidRequest(Exception):
     """The request can't be taken: a plain status and why."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status, self.why = status, why
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status, self.reason = status, reason
 
 
 class Client:
     """One connection. Between requests it rests; with one taken it waits for the desk's answer."""
 
-    def __init__(self, gate: "Gate", left_at: float) -> None:
-        self.mail = Mailbox()
-        self._gate, self._desk, self._clock, self._limits = gate.mail, gate.desk, gate.clock, gate.limits
-        self._charter, self._log, self._left_at = gate.charter, gate.log, left_at
-        self._beside = gate.beside
-        self._peer: Peer | None = None
+    def __init__(self, acceptor: "Acceptor", stopped_at: float) -> None:
+        self.mailbox = Mailbox()
+        self._acceptor, self._dispatcher, self._clock, self._limits = (
+            acceptor.mailbox,
+            acceptor.dispatcher,
+            acceptor.clock,
+            acceptor.limits,
+        )
+        self._settings, self._log, self._stopped_at = acceptor.settings, acceptor.log, stopped_at
+        self._other_serving = acceptor.other_serving
+        self._connection: HttpConnection | None = None
         self._head: h11.Request | None = None
-        self._fault: Malformed | None = None  # of a request whose framing is sound: it is read past
+        self._rejection: InvalidRequest | None = None  # of a request whose framing is sound: it is read past
         self._body, self._size = bytearray(), 0
-        self._since = self._clock.now()  # of the opening, the rest, a request's first byte, or the lingering
-        self._opened = self._since
-        self._proved = False  # a txn that came on it was answered
-        self._taken: Request | None = None
-        self._reading = self._lingering = self._asked = self._over = self._waits = self._graced = False
-        self._resume_at, self._soaked = 0.0, 0
-        self._hungry = asyncio.Event()
+        self._state_since = (
+            self._clock.now()
+        )  # of the opening, the rest, a request's first byte, or the lingering
+        self._opened_at = self._state_since
+        self._served = False  # a txn that came on it was answered
+        self._request: Request | None = None
+        self._reading = self._lingering = self._close_requested = self._closed = self._awaiting_body_grant = (
+            self._grace_used
+        ) = False
+        self._resume_at, self._discarded = 0.0, 0
+        self._wants_data = asyncio.Event()
 
     async def run(self, sock: socket.socket) -> None:
-        feeder = None
+        reader = None
         try:
-            self._peer = await admit(sock, self._limits)
-            feeder = asyncio.create_task(self._feed())
-            while not self._over:
-                messages = await self.mail.take(self._patience())
+            self._connection = await admit(sock, self._limits)
+            reader = asyncio.create_task(self._read_loop())
+            while not self._closed:
+                messages = await self.mailbox.take(self._timeout())
                 if not messages:
-                    await self._tire()
+                    await self._handle_timeout()
                 for message in messages:
-                    if not self._over:
-                        self._hear(message)
+                    if not self._closed:
+                        self._handle(message)
                         await self._drain()
                 # Asked to close between two requests, it closed over one that was read but not yet looked at.
-                if self._asked and self._resting() and await self._quiet():
-                    self._over = True
+                if self._close_requested and self._is_idle() and await self._nothing_unread():
+                    self._closed = True
         except Exception as problem:
-            self._log.say("client_failed", problem=repr(problem))
-            if self._taken is not None and self._peer is not None:
-                self._desk.put(Gone(self._taken))
+            self._log.event("client_failed", problem=repr(problem))
+            if self._request is not None and self._connection is not None:
+                self._dispatcher.put(ClientGone(self._request))
                 with suppress(h11.LocalProtocolError):
                     self._respond(500, b"", ())
         finally:
-            if feeder is not None:
-                feeder.cancel()
-            if self._peer is not None:
-                self._peer.close()
+            if reader is not None:
+                reader.cancel()
+            if self._connection is not None:
+                self._connection.close()
             else:
                 sock.close()
             if self._log.each_txn:
-                facts = {"proved": self._proved, "asked": self._asked, "lingering": self._lingering}
-                self._log.say("closed", age=round(self._clock.now() - self._opened), **facts)
-            self._gate.put(Closed(self))
+                facts = {"proved": self._served, "asked": self._close_requested, "lingering": self._lingering}
+                self._log.event("closed", age=round(self._clock.now() - self._opened_at), **facts)
+            self._acceptor.put(Closed(self))
 
-    async def _feed(self) -> None:
+    async def _read_loop(self) -> None:
         """Bytes go into the mailbox one read at a time, the next when the last was used up."""
-        while data := await self._peer.more():
-            self._hungry.clear()
-            self.mail.put(data)
-            await self._hungry.wait()
-        self.mail.put(b"")
+        while data := await self._connection.read_chunk():
+            self._wants_data.clear()
+            self.mailbox.put(data)
+            await self._wants_data.wait()
+        self.mailbox.put(b"")
 
-    def _feed_on(self) -> None:
+    def _resume_reading(self) -> None:
         """Read on: past a whole request as much as one read holds, after the last word its limit."""
-        pending = self._peer.state.trailing_data[0]
+        pending = self._connection.state.trailing_data[0]
         if self._lingering:
-            enough = self._soaked > self._limits.soak
+            buffer_full = self._discarded > self._limits.max_discarded
         else:
-            enough = self._waits or (pending and (self._taken is not None or self._resume_at > 0.0))
-        if not enough:
-            self._hungry.set()
+            buffer_full = self._awaiting_body_grant or (
+                pending and (self._request is not None or self._resume_at > 0.0)
+            )
+        if not buffer_full:
+            self._wants_data.set()
 
     async def _drain(self) -> None:
         """A slow reader is waited for, within its limit."""
         try:
-            async with asyncio.timeout(self._limits.slow / 1000.0):
-                await self._peer.writer.drain()
+            async with asyncio.timeout(self._limits.transfer / 1000.0):
+                await self._connection.writer.drain()
         except OSError:
-            self._over = True
+            self._closed = True
 
-    def _patience(self) -> float | None:
-        if self._taken is not None:
+    def _timeout(self) -> float | None:
+        if self._request is not None:
             return None
-        return max(0.0, (self._resume_at or self._since + self._span()) - self._clock.now())
+        return max(0.0, (self._resume_at or self._state_since + self._state_timeout()) - self._clock.now())
 
-    def _span(self) -> float:
+    def _state_timeout(self) -> float:
         """How long it may stay as it is; until something was served, from the connection's start on."""
         limits = self._limits
         if self._lingering:
             return limits.linger
-        if not self._proved:
-            return limits.opening
-        return limits.slow if self._reading else limits.idle
+        if not self._served:
+            return limits.first_request
+        return limits.transfer if self._reading else limits.client_idle
 
-    async def _tire(self) -> None:
+    async def _handle_timeout(self) -> None:
         """Nothing came for too long, or the pause after a refusal is over."""
         if self._resume_at:
             self._resume_at = 0.0
             self._advance()
         elif self._lingering:
-            self._over = True
-        elif not await self._quiet() and not self._graced:
+            self._closed = True
+        elif not await self._nothing_unread() and not self._grace_used:
             # What lay in the kernel as the time was up may be the rest of the request: it is read first.
-            self._graced, self._since = True, self._since + self._limits.hurry
+            self._grace_used, self._state_since = True, self._state_since + self._limits.transfer_when_full
         elif self._reading:
             self._reject(408, "too slow")
             await self._drain()
         else:
-            self._over = True
-        if not self._over:
-            self._feed_on()
+            self._closed = True
+        if not self._closed:
+            self._resume_reading()
 
-    async def _quiet(self) -> bool:
+    async def _nothing_unread(self) -> bool:
         """Whether nothing has come: in the kernel, with the feeder, or in the mailbox."""
         await asyncio.sleep(0)  # the feeder's turn
-        return self.mail.empty() and not self._peer.unread()
+        return self.mailbox.empty() and not self._connection.has_unread()
 
-    def _hear(self, message: object) -> None:
+    def _handle(self, message: object) -> None:
         if isinstance(message, bytes):
-            self._bytes(message)
+            self._receive(message)
         elif isinstance(message, ANSWERS):
             self._answer(message)
-        elif isinstance(message, Room):
-            self._waits = False
+        elif isinstance(message, BodyGrant):
+            self._awaiting_body_grant = False
             if message.granted:
                 self._advance()
             else:
                 self._reject(507, "no room for the body")
-        elif isinstance(message, Leave):
-            self._left_at, self._beside = message.at, message.beside
-        elif isinstance(message, Amend):
-            self._charter = message.charter
-        elif isinstance(message, Shut):
-            self._asked = True
-        elif isinstance(message, Cut) and self._taken is None:
+        elif isinstance(message, Shutdown):
+            self._stopped_at, self._other_serving = message.requested_at, message.other_serving
+        elif isinstance(message, SettingsChanged):
+            self._settings = message.settings
+        elif isinstance(message, CloseIfIdle):
+            self._close_requested = True
+        elif isinstance(message, CloseIfIncomplete) and self._request is None:
             if self._lingering:
-                self._over = True
+                self._closed = True
             elif self._reading:
                 self._reject(408, "others wait")
-        if not self._over:
-            self._feed_on()
+        if not self._closed:
+            self._resume_reading()
 
-    def _resting(self) -> bool:
-        return self._taken is None and not self._reading
+    def _is_idle(self) -> bool:
+        return self._request is None and not self._reading
 
-    def _bytes(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         if not data:
-            if self._taken is not None:
-                self._desk.put(Gone(self._taken))
-            self._taken, self._over = None, True
+            if self._request is not None:
+                self._dispatcher.put(ClientGone(self._request))
+            self._request, self._closed = None, True
         elif self._lingering:
-            self._soaked += len(data)
+            self._discarded += len(data)
         else:
-            if self._resting():
-                self._begin()
-            self._peer.state.receive_data(data)
-            if not self._resume_at and not self._waits:
+            if self._is_idle():
+                self._request_started()
+            self._connection.state.receive_data(data)
+            if not self._resume_at and not self._awaiting_body_grant:
                 self._advance()
 
-    def _begin(self) -> None:
+    def _request_started(self) -> None:
         """A request has begun to come."""
         self._reading = True
         if (
-            self._proved
+            self._served
         ):  # the first one's time counts from the connection's start: dripping stretches nothing
-            self._since, self._graced = self._clock.now(), False
-        self._gate.put(Busy(self))
+            self._state_since, self._grace_used = self._clock.now(), False
+        self._acceptor.put(RequestStarted(self))
 
     def _advance(self) -> None:
         """Read on to the end of one request."""
-        state = self._peer.state
+        state = self._connection.state
         try:
-            while not (self._taken or self._lingering or self._over or self._waits or self._resume_at):
+            while not (
+                self._request
+                or self._lingering
+                or self._closed
+                or self._awaiting_body_grant
+                or self._resume_at
+            ):
                 event = state.next_event()
                 if isinstance(event, h11.Request):
-                    self._open(event)
+                    self._check_head(event)
                 elif isinstance(event, h11.Data):
                     self._size += len(event.data)
-                    if self._size > self._limits.body:
-                        raise Malformed(413, "the body is too long")
-                    if self._fault is None:
+                    if self._size > self._limits.max_body:
+                        raise InvalidRequest(413, "the body is too long")
+                    if self._rejection is None:
                         self._body += event.data
                 elif isinstance(event, h11.EndOfMessage):
                     self._dispatch()
                 else:
                     return
         except h11.RemoteProtocolError as problem:
-            told = {431: "the head is too long", 501: "unknown coding"}
-            self._reject(problem.error_status_hint, told.get(problem.error_status_hint, "can't be read"))
-        except Malformed as problem:
-            self._reject(problem.status, problem.why)
-
-    def _open(self, head: h11.Request) -> None:
+            headers_given = {431: "the head is too long", 501: "unknown coding"}
+            self._reject(
+                problem.error_status_hint, headers_given.get(problem.error_status_hint, "can't be read")
+            )
+        except InvalidRequest as problem:
+            self._reject(problem.status, problem.reason)
+
+    def _check_head(self, head: h11.Request) -> None:
         """All that the head alone tells, before any of the body is stored."""
         if not self._reading:  # it came in one read with the one before
-            self._begin()
-        self._head, self._body, self._size, self._fault = head, bytearray(), 0, None
+            self._request_started()
+        self._head, self._body, self._size, self._rejection = head, bytearray(), 0, None
         names = [name for name, _ in head.headers]
         # Both say where the body ends: by one of them a whole other request stood inside it, and went on.
         if wire.CODING in names and (wire.LENGTH in names or head.http_version < b"1.1"):
-            raise Malformed(400, "two lengths")
-        if any(names.count(name) > 1 for name in wire.ONCE):
-            raise Malformed(400, "a header twice")
-        told = dict(head.headers)
-        size = int(told.get(wire.LENGTH, b"0"))
-        if size > self._limits.body:
-            raise Malformed(413, "the body is too long")
+            raise InvalidRequest(400, "two lengths")
+        if any(names.count(name) > 1 for name in wire.SINGLE_HEADERS):
+            raise InvalidRequest(400, "a header twice")
+        headers_given = dict(head.headers)
+        size = int(headers_given.get(wire.LENGTH, b"0"))
+        if size > self._limits.max_body:
+            raise InvalidRequest(413, "the body is too long")
         try:
-            self._check(head.method, head.target.partition(b"?")[0], told)
-        except Malformed as problem:
-            self._fault = problem
-        if self._peer.state.they_are_waiting_for_100_continue:
-            if self._fault is not None:
-                raise self._fault
-            self._peer.write(h11.InformationalResponse(status_code=100, headers=[]))
-        most = self._limits.body if wire.CODING in names else size
-        if self._fault is None and most > self._limits.small:
-            self._waits = True
-            self._gate.put(Want(self, most))
-
-    def _check(self, method: bytes, path: bytes, told: dict[bytes, bytes]) -> None:
+            self._validate(head.method, head.target.partition(b"?")[0], headers_given)
+        except InvalidRequest as problem:
+            self._rejection = problem
+        if self._connection.state.they_are_waiting_for_100_continue:
+            if self._rejection is not None:
+                raise self._rejection
+            self._connection.write(h11.InformationalResponse(status_code=100, headers=[]))
+        max_size = self._limits.max_body if wire.CODING in names else size
+        if self._rejection is None and max_size > self._limits.small_body:
+            self._awaiting_body_grant = True
+            self._acceptor.put(BodyReservation(self, max_size))
+
+    def _validate(self, method: bytes, path: bytes, headers_given: dict[bytes, bytes]) -> None:
         """Whether a request of this form can be taken at all."""
         if path == wire.READY:
             if method not in (b"GET", b"HEAD"):
-                raise Malformed(405, "method")
+                raise InvalidRequest(405, "method")
             return
         if path != wire.JOB_PATH and not path.startswith(wire.JOB_PATH + b"/"):
-            raise Malformed(404, "no such path")
+            raise InvalidRequest(404, "no such path")
         if method != wire.JOB_METHOD:
-            raise Malformed(405, "method")
-        if not wire.sensible_id(told.get(wire.ID, b"")):
-            raise Malformed(400, "no sensible id")
-        if told.get(wire.SCHEME, b"").decode("latin-1") not in self._charter.accepted_schemes:
-            raise Malformed(400, "unknown class")
-        left = wire.time_left(told.get(wire.TIME_LEFT, b""))
-        if left is None or not 0.0 < left <= self._limits.longest:
-            raise Malformed(400, "no sensible time left")
+            raise InvalidRequest(405, "method")
+        if not wire.is_valid_id(headers_given.get(wire.ID, b"")):
+            raise InvalidRequest(400, "no sensible id")
+        if headers_given.get(wire.SCHEME, b"").decode("latin-1") not in self._settings.accepted_schemes:
+            raise InvalidRequest(400, "unknown class")
+        time_left = wire.parse_time_left(headers_given.get(wire.TIME_LEFT, b""))
+        if time_left is None or not 0.0 < time_left <= self._limits.max_time_left:
+            raise InvalidRequest(400, "no sensible time left")
 
     def _dispatch(self) -> None:
-        if self._fault is not None:
-            self._turn_away(self._fault.status, self._fault.why)
+        if self._rejection is not None:
+            self._refuse(self._rejection.status, self._rejection.reason)
         elif self._head.target.partition(b"?")[0] == wire.READY:
             if self._log.each_txn:
-                self._log.say("ready", leaving=bool(self._left_at))
-            self._respond(503 if self._left_at else 200, b"", ())
+                self._log.event("ready", leaving=bool(self._stopped_at))
+            self._respond(503 if self._stopped_at else 200, b"", ())
         else:
-            self._take()
+            self._submit()
 
-    def _turn_away(self, status: int, why: str) -> None:
+    def _refuse(self, status: int, reason: str) -> None:
         """A plain 4xx where the framing is sound; who sends nothing else is closed after the opening."""
         now, limits = self._clock.now(), self._limits
-        self._asked |= not self._proved and now >= self._since + limits.opening
+        self._close_requested |= not self._served and now >= self._state_since + limits.first_request
         # Those who send the same again at once took the core from all others.
-        self._resume_at = now + limits.pause
-        self._gate.put(Turned(status, why))
-        self._respond(status, why.encode(), ())
+        self._resume_at = now + limits.rejection_pause
+        self._acceptor.put(RequestRejected(status, reason))
+        self._respond(status, reason.encode(), ())
 
-    def _take(self) -> None:
+    def _submit(self) -> None:
         """A whole request: from here on one answer is owed."""
         now, head = self._clock.now(), self._head
-        told = dict(head.headers)
-        scheme, left = told[wire.SCHEME].decode("latin-1"), wire.time_left(told[wire.TIME_LEFT])
-        pass_on = wire.passed_on(head.headers.raw_items())
-        request = Request(self.mail, head.method, head.target, pass_on, bytes(self._body))
+        headers_given = dict(head.headers)
+        scheme, time_left = (
+            headers_given[wire.SCHEME].decode("latin-1"),
+            wire.parse_time_left(headers_given[wire.TIME_LEFT]),
+        )
+        forwarded = wire.forwarded_headers(head.headers.raw_items())
+        request = Request(self.mailbox, head.method, head.target, forwarded, bytes(self._body))
         self._body = bytearray()
-        request.id, request.scheme = told[wire.ID], self._charter.schemes.index(scheme)
-        request.expiry = now + left - self._limits.way
-        if self._left_at and now > self._left_at + self._limits.leave:
+        request.id, request.scheme = headers_given[wire.ID], self._settings.schemes.index(scheme)
+        request.expiry = now + time_left - self._limits.network_allowance
+        if self._stopped_at and now > self._stopped_at + self._limits.accept_after_stop:
             # On kept connections clients go on while they may: what comes late is answered before the kill.
-            request.expiry = min(request.expiry, self._left_at + self._limits.last_word)
-        request.slots, request.work = wire.facts(told.get(wire.FACTS, b""))
+            request.expiry = min(request.expiry, self._stopped_at + self._limits.answer_after_stop)
+        request.slots, request.work = wire.parse_facts(headers_given.get(wire.FACTS, b""))
         if self._log.each_txn:
-            self._log.say("took", id=request.id, scheme=scheme, left=left, target=head.target)
-        self._taken = request
-        self._gate.put(Whole(self))
-        self._desk.put(request)
+            self._log.event("took", id=request.id, scheme=scheme, left=time_left, target=head.target)
+        self._request = request
+        self._acceptor.put(RequestComplete(self))
+        self._dispatcher.put(request)
 
-    def _answer(self, message: Settle | Refuse | Fail | Clash) -> None:
+    def _answer(self, message: Settle | Refuse | Fail | DuplicateId) -> None:
         """The desk's word on what was taken, and on nothing else that came on this connection."""
-        if message.request is not self._taken:
+        if message.request is not self._request:
             return
-        self._taken, self._proved = None, self._proved or not isinstance(message, Clash)
+        self._request, self._served = None, self._served or not isinstance(message, DuplicateId)
         match message:
             case Settle(_, result):
                 self._respond(wire.SETTLED, result, ())
             case Refuse(_, pause):
-                advice = ((wire.PAUSE, b"%.3f" % (pause / 1000.0)),) if pause > 0.0 else ()
-                self._respond(wire.DECLINED, b"", advice)
+                retry_after = ((wire.PAUSE, b"%.3f" % (pause / 1000.0)),) if pause > 0.0 else ()
+                self._respond(wire.DECLINED, b"", retry_after)
             case Fail():
                 self._respond(wire.REVERSED, b"", ())
-            case Clash():
-                self._turn_away(wire.CLASH, "an id under way")
+            case DuplicateId():
+                self._refuse(wire.CLASH, "an id under way")
         if not self._resume_at:
             self._advance()
 
     def _respond(self, status: int, body: bytes, headers: tuple[tuple[bytes, bytes], ...]) -> None:
         """Write one whole answer, and be ready for the next request."""
-        peer, more = self._peer, list(headers)
+        connection, headers_out = self._connection, list(headers)
         # With another process serving, the client's next connection comes up there at once.
-        stay = 0.0 if self._beside else self._limits.stay
-        leaving = self._left_at and self._clock.now() >= self._left_at + stay
-        if leaving or self._lingering or self._asked:
-            more.append((b"connection", b"close"))
-        more.append((b"content-length", b"%d" % len(body)))
-        bare = self._head is not None and self._head.method == b"HEAD"
-        data = () if bare else (h11.Data(data=body),)
+        drain_time = 0.0 if self._other_serving else self._limits.serve_after_stop
+        closing = self._stopped_at and self._clock.now() >= self._stopped_at + drain_time
+        if closing or self._lingering or self._close_requested:
+            headers_out.append((b"connection", b"close"))
+        headers_out.append((b"content-length", b"%d" % len(body)))
+        omit_body = self._head is not None and self._head.method == b"HEAD"
+        data = () if omit_body else (h11.Data(data=body),)
         reason = HTTPStatus(status).phrase.encode()
-        peer.write(h11.Response(status_code=status, headers=more, reason=reason), *data, h11.EndOfMessage())
+        connection.write(
+            h11.Response(status_code=status, headers=headers_out, reason=reason), *data, h11.EndOfMessage()
+        )
         self._reading, self._head, self._body = False, None, bytearray()
-        if self._proved:
-            self._since, self._graced = self._clock.now(), False
+        if self._served:
+            self._state_since, self._grace_used = self._clock.now(), False
         if self._lingering:
             return
-        if peer.next_cycle():
-            self._gate.put(Resting(self, self._proved))
-        elif peer.state.trailing_data[0] or peer.unread():
+        if connection.next_cycle():
+            self._acceptor.put(Idle(self, self._served))
+        elif connection.state.trailing_data[0] or connection.has_unread():
             self._linger()  # a reset over what lies there would overtake the answer
         else:
-            self._over = True
+            self._closed = True
 
-    def _reject(self, status: int, why: str) -> None:
+    def _reject(self, status: int, reason: str) -> None:
         """The framing is lost or the request cut short: answer, then read on a little and close."""
-        self._gate.put(Turned(status, why))
+        self._acceptor.put(RequestRejected(status, reason))
         self._lingering = True
-        if self._peer.state.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            self._respond(status, why.encode(), ())
+        if self._connection.state.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            self._respond(status, reason.encode(), ())
         self._linger()
 
     def _linger(self) -> None:
-        self._lingering, self._since, self._resume_at, self._waits = True, self._clock.now(), 0.0, False
+        self._lingering, self._state_since, self._resume_at, self._awaiting_body_grant = (
+            True,
+            self._clock.now(),
+            0.0,
+            False,
+        )
         self._body = bytearray()
-        self._gate.put(Lingering(self))
+        self._acceptor.put(Lingering(self))
         with suppress(OSError):  # it may be gone already
-            self._peer.writer.write_eof()
+            self._connection.writer.write_eof()
--- a/sableford/net/console.py
+++ b/sableford/net/console.py
@@ -13,62 +13,70 @@
 
 import h11
 
-from sableford.net.http import Peer, admit
+from sableford.net.http import HttpConnection, admit
 from sableford.net.limits import Limits
 from sableford.net.log import Log
-from sableford.net.mail import Asked, Clock, FleetSeen, Known, Leave, Mailbox, Rule, Ruling
+from sableford.net.messages import (
+    Clock,
+    FleetStatus,
+    KnownWorkers,
+    Mailbox,
+    OperatorOverride,
+    OverrideRequest,
+    RecordRequest,
+    Shutdown,
+)
 
 GET, POST = (b"GET", b"HEAD"), (b"POST",)
 HEALTH, WORKERS, FLEET, RECORD = "healthcheck", "workers", "fleet", "record"
-DEEDS = {"maint": True, "ready": False}  # the last word of a call on a worker: whether it is out from then on
+ACTIONS = {
+    "maint": True,
+    "ready": False,
+}  # the last word of a call on a worker: whether it is out from then on
 
 
-class Verdict(NamedTuple):
+class Reply(NamedTuple):
     status: int
     text: str
-    rule: tuple[str, bool] | None = None
-    ask: tuple[str, bool] | None = None  # a key of the record, and whether it is to be set
+    override: tuple[str, bool] | None = None
+    record_call: tuple[str, bool] | None = None  # a key of the record, and whether it is to be set
 
 
-NO_PATH, NO_METHOD = Verdict(404, "no such path"), Verdict(405, "not by this method")
-TOO_LARGE, UNREADABLE = Verdict(413, "too large"), Verdict(400, "can't be read")
-NO_FLEET = Verdict(404, "this scheduler is not in a fleet")
-UP, LEAVING = Verdict(200, "takes clients"), Verdict(503, "leaving")
+NO_PATH, NO_METHOD = Reply(404, "no such path"), Reply(405, "not by this method")
+TOO_LARGE, UNREADABLE = Reply(413, "too large"), Reply(400, "can't be read")
+NO_FLEET = Reply(404, "this scheduler is not in a fleet")
+SERVING, LEAVING = Reply(200, "takes clients"), Reply(503, "leaving")
 
 
-def judge(
+def route(
     method: bytes, target: bytes, known: frozenset[str], leaving: bool, fleet: bytes | None = None
-) -> Verdict:
+) -> Reply:
     """What one call gets. An id stands in the path percent-encoded, or as the list gives it. `fleet` is how
     it looks from here, none where there is none.
 
-    >>> judge(b"POST", b"/workers/a%2Fb/maint", frozenset({"a/b"}), False).rule
+    >>> route(b"POST", b"/workers/a%2Fb/maint", frozenset({"a/b"}), False).override
     ('a/b', True)
-    >>> judge(b"POST", b"/workers/w/ready?x=1", frozenset({"w"}), False)[:2]
+    >>> route(b"POST", b"/workers/w/ready?x=1", frozenset({"w"}), False)[:2]
     (200, 'w may serve')
     """
     path = target.partition(b"?")[0].decode("latin-1")
     match path.split("/"):
         case ["", name] if name == HEALTH:
-            return NO_METHOD if method not in GET else LEAVING if leaving else UP
-        case ["", first, raw, word] if first == WORKERS and word in DEEDS:
+            return NO_METHOD if method not in GET else LEAVING if leaving else SERVING
+        case ["", first, raw, action] if first == WORKERS and action in ACTIONS:
             if method not in POST:
                 return NO_METHOD
             worker = next((name for name in (unquote(raw), raw) if name in known), None)
             if worker is None:
-                return Verdict(404, "no such worker")
-            out = DEEDS[word]
-            return Verdict(200, f"{worker} {'is out' if out else 'may serve'}", (worker, out))
+                return Reply(404, "no such worker")
+            out = ACTIONS[action]
+            return Reply(200, f"{worker} {'is out' if out else 'may serve'}", (worker, out))
         case ["", name] if name == FLEET:
             return (
-                NO_FLEET
-                if fleet is None
-                else NO_METHOD
-                if method not in GET
-                else Verdict(200, fleet.decode())
+                NO_FLEET if fleet is None else NO_METHOD if method not in GET else Reply(200, fleet.decode())
             )
         case ["", first, raw] if first == RECORD and raw:
-            return NO_FLEET if fleet is None else Verdict(200, "", ask=(unquote(raw), method in POST))
+            return NO_FLEET if fleet is None else Reply(200, "", record_call=(unquote(raw), method in POST))
     return NO_PATH
 
 
@@ -77,15 +85,15 @@
 
     def __init__(
         self,
-        mail: Mailbox,
+        mailbox: Mailbox,
         handover: Mailbox,
         clock: Clock,
         limits: Limits,
         log: Log,
         fleet: Mailbox | None = None,
     ) -> None:
-        self.mail = mail
-        self._fleet, self._picture = fleet, b"{}" if fleet is not None else None
+        self.mailbox = mailbox
+        self._fleet, self._fleet_status = fleet, b"{}" if fleet is not None else None
         self._handover, self._clock, self._limits, self._log = handover, clock, limits, log
         self._listener: socket.socket | None = None
         self._known: frozenset[str] = frozenset()
@@ -99,13 +107,13 @@
         acceptor = asyncio.create_task(self._accept()) if self._listener is not None else None
         try:
             while True:
-                for message in await self.mail.take():
+                for message in await self.mailbox.take():
                     match message:
-                        case Known(workers):
+                        case KnownWorkers(workers):
                             self._known = workers
-                        case FleetSeen(text):
-                            self._picture = text
-                        case Leave():
+                        case FleetStatus(text):
+                            self._fleet_status = text
+                        case Shutdown():
                             self._leaving = True
         finally:
             for task in (acceptor, *self._callers):
@@ -120,11 +128,11 @@
             try:
                 sock, _ = await loop.sock_accept(self._listener)
             except OSError as problem:  # out of descriptors
-                self._log.say("accept_failed", problem=repr(problem))
+                self._log.event("accept_failed", problem=repr(problem))
                 await asyncio.sleep(0.05)
                 continue
             # Callers that say nothing stood where the next one had to: the oldest makes room, never the new.
-            if len(self._callers) >= self._limits.callers:
+            if len(self._callers) >= self._limits.operators:
                 oldest = next(iter(self._callers))
                 del self._callers[oldest]
                 oldest.cancel()
@@ -136,72 +144,76 @@
 
     async def _serve(self, sock: socket.socket) -> None:
         """One caller, from its connecting to the close."""
-        peer = None
+        connection = None
         try:
-            async with asyncio.timeout(self._limits.call_in / 1000.0):
-                peer = await admit(sock, self._limits)
-                if (heard := await self._hear(peer)) is not None:
-                    await self._answer(peer, *heard)
+            async with asyncio.timeout(self._limits.operator_call / 1000.0):
+                connection = await admit(sock, self._limits)
+                if (call := await self._read_call(connection)) is not None:
+                    await self._answer(connection, *call)
                 # Closed over bytes that lie unread, a reset would overtake the answer.
-                read = 0
-                while (data := await peer.more()) and read < self._limits.soak:
-                    read += len(data)
+                discarded = 0
+                while (data := await connection.read_chunk()) and discarded < self._limits.max_discarded:
+                    discarded += len(data)
         except (OSError, h11.ProtocolError):  # too slow, or gone
             pass
         except Exception as problem:
-            self._log.say("caller_failed", problem=repr(problem))
+            self._log.event("caller_failed", problem=repr(problem))
         finally:
-            if peer is not None:
-                peer.close()
+            if connection is not None:
+                connection.close()
             else:
                 sock.close()
 
-    async def _hear(self, peer: Peer) -> tuple[Verdict, bool, bytes] | None:
+    async def _read_call(self, connection: HttpConnection) -> tuple[Reply, bool, bytes] | None:
         """One whole call's verdict, whether no body is wanted, and the call's; none where the caller ends
         without one."""
         head, body = None, bytearray()
         try:
-            while not isinstance(event := await peer.event(), h11.EndOfMessage):
+            while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
                 if isinstance(event, h11.ConnectionClosed):
                     return None
                 if isinstance(event, h11.Request):
                     head = event
-                    if peer.state.they_are_waiting_for_100_continue:
-                        peer.write(h11.InformationalResponse(status_code=100, headers=[]))
+                    if connection.state.they_are_waiting_for_100_continue:
+                        connection.write(h11.InformationalResponse(status_code=100, headers=[]))
                 elif isinstance(event, h11.Data):
                     body += event.data
-                    if len(body) > self._limits.call_size:
+                    if len(body) > self._limits.operator_body:
                         return TOO_LARGE, False, b""
         except h11.RemoteProtocolError as problem:
             return (TOO_LARGE if problem.error_status_hint == 431 else UNREADABLE), False, b""
-        verdict = judge(head.method, head.target, self._known, self._leaving, self._picture)
-        return verdict, head.method == b"HEAD", bytes(body)
+        reply = route(head.method, head.target, self._known, self._leaving, self._fleet_status)
+        return reply, head.method == b"HEAD", bytes(body)
 
-    async def _agree(self, key: str, value: bytes | None) -> Verdict:
+    async def _access_record(self, key: str, value: bytes | None) -> Reply:
         """A call on the record: no is sure where it says so; nothing in time may be agreed on yet."""
-        reply = Mailbox()
-        self._fleet.put(Asked(key, value, reply))
-        answer = await reply.take(self._limits.agreed)
+        written = Mailbox()
+        self._fleet.put(RecordRequest(key, value, written))
+        answer = await written.take(self._limits.record_agreement)
         if not answer:
-            return Verdict(503, "not agreed on in time; it may be yet")
-        yes, index, what = answer[0]
-        if not yes:
-            return Verdict(409, f"no: {what}")
+            return Reply(503, "not agreed on in time; it may be yet")
+        accepted, index, found = answer[0]
+        if not accepted:
+            return Reply(409, f"no: {found}")
         if value is not None:
-            return Verdict(200, f"entry {index}")
+            return Reply(200, f"entry {index}")
         return (
-            Verdict(200, what.decode("utf-8", "replace")) if what is not None else Verdict(404, "no such key")
+            Reply(200, found.decode("utf-8", "replace")) if found is not None else Reply(404, "no such key")
         )
 
-    async def _answer(self, peer: Peer, verdict: Verdict, bare: bool, sent: bytes) -> None:
-        if verdict.ask is not None:
-            key, sets = verdict.ask
-            verdict = await self._agree(key, sent if sets else None)
-        text = verdict.text
-        if verdict.rule is not None:  # written before the yes: a kill right after it ends no ban
-            reply = Mailbox()
-            self._handover.put_first(Ruling(Rule(*verdict.rule, self._clock.now()), reply))
-            if await reply.take(self._limits.written) != [True]:  # in force here, and the caller can know
+    async def _answer(self, connection: HttpConnection, reply: Reply, omit_body: bool, value: bytes) -> None:
+        if reply.record_call is not None:
+            key, is_write = reply.record_call
+            reply = await self._access_record(key, value if is_write else None)
+        text = reply.text
+        if reply.override is not None:  # written before the yes: a kill right after it ends no ban
+            written = Mailbox()
+            self._handover.put_first(
+                OverrideRequest(OperatorOverride(*reply.override, self._clock.now()), written)
+            )
+            if await written.take(self._limits.override_write) != [
+                True
+            ]:  # in force here, and the caller can know
                 text += "; not written yet, another process or a restart does not know"
         body = text.encode() + b"\n"
         headers = [
@@ -209,9 +221,9 @@
             (b"content-length", b"%d" % len(body)),
             (b"connection", b"close"),
         ]
-        reason = HTTPStatus(verdict.status).phrase.encode()
-        answer = h11.Response(status_code=verdict.status, headers=headers, reason=reason)
-        peer.write(answer, *(() if bare else (h11.Data(data=body),)), h11.EndOfMessage())
+        reason = HTTPStatus(reply.status).phrase.encode()
+        answer = h11.Response(status_code=reply.status, headers=headers, reason=reason)
+        connection.write(answer, *(() if omit_body else (h11.Data(data=body),)), h11.EndOfMessage())
         with suppress(OSError):
-            await peer.writer.drain()
-            peer.writer.write_eof()
+            await connection.writer.drain()
+            connection.writer.write_eof()
--- a/sableford/net/http.py
+++ b/sableford/net/http.py
@@ -19,55 +19,55 @@
 
     def __init__(self, limit: int) -> None:
         super().__init__(limit=limit, loop=asyncio.get_running_loop())
-        self.held = 0
+        self.buffered = 0
 
     def feed_data(self, data: bytes) -> None:
-        self.held += len(data)
+        self.buffered += len(data)
         super().feed_data(data)
 
     async def read(self, n: int = -1) -> bytes:
         data = await super().read(n)
-        self.held -= len(data)
+        self.buffered -= len(data)
         return data
 
 
-class Peer:
+class HttpConnection:
     """One connection."""
 
     def __init__(self, reader: Reader, writer: asyncio.StreamWriter, role: type, limits: Limits) -> None:
         self.reader, self.writer = reader, writer
-        self.state = h11.Connection(role, max_incomplete_event_size=limits.head)
-        self._chunk = limits.chunk
-        self.uses, self._rests_since = 0, 0.0
+        self.state = h11.Connection(role, max_incomplete_event_size=limits.max_head)
+        self._chunk = limits.read_size
+        self.uses, self._idle_since = 0, 0.0
         # Zero: drain() then waits until the kernel has the last byte.
         writer.transport.set_write_buffer_limits(high=0)
 
-    def rest(self) -> None:
+    def mark_idle(self) -> None:
         """One exchange on it is over."""
         self.uses += 1
-        self._rests_since = asyncio.get_running_loop().time()
+        self._idle_since = asyncio.get_running_loop().time()
 
-    def idle(self) -> float:
+    def idle_ms(self) -> float:
         """How long nothing has gone over it, in ms; 0 for one that is new."""
-        return (asyncio.get_running_loop().time() - self._rests_since) * 1000.0 if self.uses else 0.0
+        return (asyncio.get_running_loop().time() - self._idle_since) * 1000.0 if self.uses else 0.0
 
-    async def more(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Bytes as they come, none at the end; a broken connection ends too."""
         try:
             return await self.reader.read(self._chunk)
         except OSError:
             return b""
 
-    async def event(self) -> object:
+    async def next_event(self) -> object:
         """The next event; RemoteProtocolError where the other side breaks off or talks nonsense."""
         while (event := self.state.next_event()) is h11.NEED_DATA:
-            self.state.receive_data(await self.more())
+            self.state.receive_data(await self.read_chunk())
         return event
 
     def write(self, *events: object) -> None:
         self.writer.write(b"".join(self.state.send(event) or b"" for event in events))
 
-    async def written(self) -> bool:
+    async def flushed(self) -> bool:
         """Whether the last byte has left for the kernel; False only if it provably has not.
 
         Called right after write, with nothing awaited between: a send that failed has closed the transport,
@@ -87,13 +87,13 @@
 
         What came unasked since the last answer, behind it or later, would be read as the next one."""
         transport = self.writer.transport
-        if self.reader.held or self.state.trailing_data[0]:
+        if self.reader.buffered or self.state.trailing_data[0]:
             return False
         if transport.is_closing() or self.reader.at_eof() or self.reader.exception() is not None:
             return False
-        return not self.unread()
+        return not self.has_unread()
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether bytes, or the end, lie in the kernel."""
         sock = self.writer.transport.get_extra_info("socket")
         if sock is None or sock.fileno() < 0:
@@ -113,29 +113,29 @@
         """What is written still goes out."""
         self.writer.close()
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         self.writer.transport.abort()
 
 
-async def dial(address: tuple[str, int], limits: Limits) -> Peer:
+async def dial(address: tuple[str, int], limits: Limits) -> HttpConnection:
     """A new connection to a worker or to discovery."""
-    reader, writer = await opened(limits, host=address[0], port=address[1])
+    reader, writer = await open_streams(limits, host=address[0], port=address[1])
     sock = writer.transport.get_extra_info("socket")
     # A whole request fits the kernel's buffer, so that it leaves in one go.
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * (limits.body + limits.head))
-    return Peer(reader, writer, h11.CLIENT, limits)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * (limits.max_body + limits.max_head))
+    return HttpConnection(reader, writer, h11.CLIENT, limits)
 
 
-async def admit(sock: socket.socket, limits: Limits) -> Peer:
+async def admit(sock: socket.socket, limits: Limits) -> HttpConnection:
     """An accepted connection."""
-    reader, writer = await opened(limits, sock=sock)
-    return Peer(reader, writer, h11.SERVER, limits)
+    reader, writer = await open_streams(limits, sock=sock)
+    return HttpConnection(reader, writer, h11.SERVER, limits)
 
 
-async def opened(limits: Limits, **to: Any) -> tuple[Reader, asyncio.StreamWriter]:
+async def open_streams(limits: Limits, **to: Any) -> tuple[Reader, asyncio.StreamWriter]:
     """As asyncio.open_connection, with a reader of our own."""
     loop = asyncio.get_running_loop()
-    reader = Reader(limits.chunk)
+    reader = Reader(limits.read_size)
     protocol = asyncio.StreamReaderProtocol(reader, loop=loop)
     transport, _ = await loop.create_connection(lambda: protocol, **to)
     return reader, asyncio.StreamWriter(transport, protocol, reader, loop)
--- a/sableford/net/log.py
+++ b/sableford/net/log.py
@@ -19,7 +19,7 @@
     ) -> None:
         self._name, self.each_txn, self._sink = name, each_txn, sink
 
-    def say(self, event: str, **facts: object) -> None:
+    def event(self, event: str, **facts: object) -> None:
         line = {"at": round(time.time(), 3), "node": self._name, "event": event, **facts}
         with suppress(OSError):  # nobody reads the log: no reason to stop serving
             self._sink.write(orjson.dumps(line, default=_plain, option=orjson.OPT_APPEND_NEWLINE))
--- a/sableford/net/mail.py
+++ b/sableford/net/messages.py
@@ -96,24 +96,24 @@
 # To the desk: a Request, and
 
 
-class Gone(NamedTuple):
+class ClientGone(NamedTuple):
     """The client has closed its connection."""
 
     request: Request
 
 
-class Began(NamedTuple):
+class PostingStarted(NamedTuple):
     request: Request
     posting: int
 
 
-class Moved(NamedTuple):
+class PostingProgressed(NamedTuple):
     request: Request
     posting: int
-    share: float
+    progress: float
 
 
-class Back(NamedTuple):
+class PostingEnded(NamedTuple):
     """A posting is over; `result` is the body for the client where it was settled."""
 
     request: Request
@@ -123,13 +123,13 @@
     result: bytes = b""
 
 
-class Stale(NamedTuple):
+class StaleConnection(NamedTuple):
     """A line that had rested so many ms was dead as it was taken up. To the workers too, from the desk."""
 
-    rested: float
+    idle_ms: float
 
 
-class Looked(NamedTuple):
+class ProbeResult(NamedTuple):
     """A probe is back."""
 
     worker: str
@@ -137,15 +137,15 @@
     load: tuple[float, ...]
 
 
-class Told(NamedTuple):
+class WorkerListUpdate(NamedTuple):
     """Lines of the list, all of them where `complete`, and where each worker listens."""
 
-    sheet: WorkerList
+    worker_list: WorkerList
     complete: bool
     addresses: dict[str, tuple[str, int]]
 
 
-class Rule(NamedTuple):
+class OperatorOverride(NamedTuple):
     """An operator took a worker out at that time, or called it back. From the console."""
 
     worker: str
@@ -153,63 +153,63 @@
     at: float
 
 
-class Turn(NamedTuple):
+class WarmUpOwnership(NamedTuple):
     """Whether the turns at cold workers are this process's. From the handover."""
 
-    ours: bool
+    owned: bool
 
 
-class Unheard(NamedTuple):
+class DiscoveryLost(NamedTuple):
     """The watch failed, or discovery fell silent."""
 
 
 # From a reload, to the desk, the gate, the roster and the workers
 
 
-class Renew(NamedTuple):
+class ConfigReloaded(NamedTuple):
     """The file was read again: the limits from now on, where discovery is, and the settings."""
 
     limits: Limits
     discovery: tuple[str, int]
-    charter: SchedulerSettings
+    settings: SchedulerSettings
     peers: tuple[tuple[str, int], ...] = ()  # the schedulers by position, where they may be spoken to
 
 
-class Say(NamedTuple):
+class SendToPeers(NamedTuple):
     """To the peers: some words for some schedulers."""
 
     peers: tuple[int, ...]
-    word: bytes
+    payload: bytes
 
 
-class Word(NamedTuple):
+class PeerPayload(NamedTuple):
     """To the desk: what another scheduler said."""
 
     peer: int
-    word: bytes
+    payload: bytes
 
 
 # To the handover
 
 
-class Ruling(NamedTuple):
+class OverrideRequest(NamedTuple):
     """A call by hand; `reply` hears whether it was written, as soon as that is known."""
 
-    rule: Rule
+    override: OperatorOverride
     reply: Mailbox
 
 
-class Kept(NamedTuple):
+class HandoverSnapshot(NamedTuple):
     """What the desk knows, for the next process: the list in its words, and what the module learned."""
 
     listing: bytes
-    legacy: LearnedState
+    learned: LearnedState
 
 
 # To the keeper
 
 
-class Share(NamedTuple):
+class ProcessCount(NamedTuple):
     """So many processes of this scheduler live, and divide what is granted."""
 
     processes: int
@@ -218,7 +218,7 @@
 # To the fleet
 
 
-class Asked(NamedTuple):
+class RecordRequest(NamedTuple):
     """A key of the record to be set to `value`, or read where there is none; `reply` gets (held, entry,
     value or why not)."""
 
@@ -230,13 +230,13 @@
 # To the console
 
 
-class FleetSeen(NamedTuple):
+class FleetStatus(NamedTuple):
     """How the fleet looks from here, as JSON."""
 
-    text: bytes
+    json: bytes
 
 
-class Known(NamedTuple):
+class KnownWorkers(NamedTuple):
     """Every worker that has been listed or is out by hand."""
 
     workers: frozenset[str]
@@ -263,41 +263,41 @@
     request: Request
 
 
-class Clash(NamedTuple):
+class DuplicateId(NamedTuple):
     """A txn with this id is under way."""
 
     request: Request
 
 
-class Leave(NamedTuple):
+class Shutdown(NamedTuple):
     """The scheduler was asked to end at that time, with another process of it serving `beside` or not. To the
     gate: end."""
 
-    at: float = 0.0
-    beside: bool = False
+    requested_at: float = 0.0
+    other_serving: bool = False
 
 
-class Beside(NamedTuple):
+class OtherProcessServing(NamedTuple):
     """To the gate: whether another process of this scheduler serves."""
 
     serves: bool
 
 
-class Amend(NamedTuple):
+class SettingsChanged(NamedTuple):
     """Other settings: for the next request."""
 
-    charter: SchedulerSettings
+    settings: SchedulerSettings
 
 
-class Shut(NamedTuple):
+class CloseIfIdle(NamedTuple):
     """Close if idle."""
 
 
-class Cut(NamedTuple):
+class CloseIfIncomplete(NamedTuple):
     """Others wait: close if a request has begun to come and is not whole, or the last answer was given."""
 
 
-class Room(NamedTuple):
+class BodyGrant(NamedTuple):
     """Whether a body may come as large as was asked for."""
 
     granted: bool
@@ -306,34 +306,34 @@
 # To a worker
 
 
-class Carry(NamedTuple):
+class SendPosting(NamedTuple):
     request: Request
     posting: int
-    until: float
+    deadline: float
 
 
-class Withdraw(NamedTuple):
+class CancelPosting(NamedTuple):
     request: Request
     posting: int
 
 
-class Look(NamedTuple):
+class SendProbe(NamedTuple):
     """Probe."""
 
 
-class Place(NamedTuple):
+class WorkerEndpoint(NamedTuple):
     """Where the worker listens, its last start (with another one its old connections are void), whether it
     wants anything new."""
 
     address: tuple[str, int]
-    since: float
+    started_at: float
     ready: bool
 
-    def same(self, other: "Place") -> bool:
-        return (self.address, self.since) == (other.address, other.since)
+    def same_process(self, other: "WorkerEndpoint") -> bool:
+        return (self.address, self.started_at) == (other.address, other.started_at)
 
 
-class Allot(NamedTuple):
+class ConnectionQuota(NamedTuple):
     """How many connections it may have."""
 
-    lines: int
+    connections: int
--- a/sableford/net/folder.py
+++ b/sableford/net/state_directory.py
@@ -14,63 +14,63 @@
 
 import msgspec
 
-from sableford.net import pact
-from sableford.net.pact import Other, Word
+from sableford.net import handover_state
+from sableford.net.handover_state import OtherProcess, ProcessState
 
 
-class Folder:
-    def __init__(self, name: str, token: str, remembered: float) -> None:
+class StateDirectory:
+    def __init__(self, name: str, token: str, dead_state_valid: float) -> None:
         """`remembered`: ms for which a dead process's word counts. OSError where the folder can't be had."""
-        self._token, self._remembered = token, remembered
+        self._token, self._dead_state_valid = token, dead_state_valid
         # By token: which file, and what it said.
-        self._read: dict[str, tuple[tuple[int, ...], Word | None]] = {}
-        self._beat_at = 0.0
+        self._cache: dict[str, tuple[tuple[int, ...], ProcessState | None]] = {}
+        self._heartbeat_at = 0.0
         self.path = Path(tempfile.gettempdir(), name)
         self.path.mkdir(mode=0o700, exist_ok=True)
-        found = self.path.lstat()
-        if not stat.S_ISDIR(found.st_mode) or found.st_uid != os.geteuid():
+        status = self.path.lstat()
+        if not stat.S_ISDIR(status.st_mode) or status.st_uid != os.geteuid():
             raise PermissionError(f"{self.path} is another's")
         # Locked before it has its name: seen without a lock it would pass for a dead one's.
-        unnamed = self.path / f"{token}.new"
-        self.lock = os.open(unnamed, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        temporary = self.path / f"{token}.new"
+        self.lock = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        unnamed.rename(self.path / f"{token}.lock")
+        temporary.rename(self.path / f"{token}.lock")
 
-    def write(self, word: Word) -> None:
+    def write(self, state: ProcessState) -> None:
         """The own word, whole or not at all. Not flushed: it outlives the process, not the machine."""
-        unnamed = self.path / f"{self._token}.part"
-        unnamed.write_bytes(msgspec.json.encode(word))
-        unnamed.rename(self.path / f"{self._token}.word")
+        temporary = self.path / f"{self._token}.part"
+        temporary.write_bytes(msgspec.json.encode(state))
+        temporary.rename(self.path / f"{self._token}.word")
 
-    def look(self, beat: float = 0.0) -> tuple[list[Other], list[Word]]:
+    def poll(self, heartbeat: float = 0.0) -> tuple[list[OtherProcess], list[ProcessState]]:
         """Who else lives, and the words of those that died just now, whose files are removed. Every `beat` ms
         the own lock is renewed, which dates this process's word after its death."""
-        living: list[Other] = []
-        left: list[Word] = []
-        if beat and time.monotonic() * 1000.0 - self._beat_at >= beat:
-            self._beat_at = time.monotonic() * 1000.0
+        living: list[OtherProcess] = []
+        dead_states: list[ProcessState] = []
+        if heartbeat and time.monotonic() * 1000.0 - self._heartbeat_at >= heartbeat:
+            self._heartbeat_at = time.monotonic() * 1000.0
             with suppress(OSError):
                 os.utime(self.lock)
         try:
             names = [entry.name for entry in os.scandir(self.path)]
         except OSError:
-            return living, left
+            return living, dead_states
         locks = sorted(name for name in names if name.endswith(".lock"))
         for token in (name.removesuffix(".lock") for name in locks):
             if token == self._token:
                 continue
-            if (last := self._dead(token)) is None:
-                living.append(Other(token, self._word(token)))
+            if (last_sign := self._last_sign(token)) is None:
+                living.append(OtherProcess(token, self._read_state(token)))
                 continue
-            word = self._word(token)
-            if word is not None and time.time() * 1000.0 - last < self._remembered:
-                left.append(word)
+            state = self._read_state(token)
+            if state is not None and time.time() * 1000.0 - last_sign < self._dead_state_valid:
+                dead_states.append(state)
             self.remove(token)
-        for token in self._read.keys() - {other.token for other in living}:
-            del self._read[token]
-        return living, left
+        for token in self._cache.keys() - {other.token for other in living}:
+            del self._cache[token]
+        return living, dead_states
 
-    def _dead(self, token: str) -> float | None:
+    def _last_sign(self, token: str) -> float | None:
         """When one that is dead gave its last sign; none for one that lives."""
         try:
             file = os.open(self.path / f"{token}.lock", os.O_RDONLY | os.O_CLOEXEC)
@@ -84,17 +84,17 @@
         finally:
             os.close(file)
 
-    def _word(self, token: str) -> Word | None:
+    def _read_state(self, token: str) -> ProcessState | None:
         path = self.path / f"{token}.word"
         try:
-            found = path.stat()
-            which = (found.st_ino, found.st_mtime_ns, found.st_size)
-            if self._read.get(token, ((), None))[0] != which:
-                text = path.read_bytes() if found.st_size <= pact.MOST_WORD else b""
-                self._read[token] = which, pact.read_word(text)
+            status = path.stat()
+            version = (status.st_ino, status.st_mtime_ns, status.st_size)
+            if self._cache.get(token, ((), None))[0] != version:
+                text = path.read_bytes() if status.st_size <= handover_state.MAX_STATE_BYTES else b""
+                self._cache[token] = version, handover_state.decode_state(text)
         except OSError:  # not written yet
             return None
-        return self._read[token][1]
+        return self._cache[token][1]
 
     def remove(self, token: str) -> None:
         for ending in ("word", "part", "new", "lock"):
--- a/sableford/net/workers.py
+++ b/sableford/net/workers.py
@@ -14,336 +14,377 @@
 from sableford.intake.scheduler_settings import SchedulerSettings
 from sableford.model import Ending
 from sableford.net import wire
-from sableford.net.http import Peer, dial
+from sableford.net.http import HttpConnection, dial
 from sableford.net.limits import Limits
 from sableford.net.log import Log
-from sableford.net.mail import (
-    Allot,
-    Back,
-    Began,
-    Carry,
+from sableford.net.messages import (
+    CancelPosting,
     Clock,
-    Look,
-    Looked,
+    ConfigReloaded,
+    ConnectionQuota,
     Mailbox,
-    Moved,
-    Place,
-    Renew,
+    PostingEnded,
+    PostingProgressed,
+    PostingStarted,
+    ProbeResult,
     Request,
-    Stale,
-    Withdraw,
+    SendPosting,
+    SendProbe,
+    StaleConnection,
+    WorkerEndpoint,
 )
 
-OPENING = (Ending.NO_CONNECTION, (), b"")
-DOUBT = (Ending.BROKEN, (), b"")
-OVERDUE = (Ending.TIMED_OUT, (), b"")
+NOT_CONNECTED = (Ending.NO_CONNECTION, (), b"")
+MAY_HAVE_RUN = (Ending.BROKEN, (), b"")
+TIMED_OUT = (Ending.TIMED_OUT, (), b"")
 CALLED_OFF = (Ending.CALLED_OFF, (), b"")
-UNDONE = (Ending.NOT_SENT, (), b"")
-CLOSING = (OPENING, DOUBT, OVERDUE, CALLED_OFF)
+NOT_SENT = (Ending.NOT_SENT, (), b"")
+CLOSES_CONNECTION = (NOT_CONNECTED, MAY_HAVE_RUN, TIMED_OUT, CALLED_OFF)
 
 
 class Worker:
     """One worker as this scheduler sees it."""
 
     def __init__(
-        self, name: str, desk: Mailbox, clock: Clock, limits: Limits, charter: SchedulerSettings, log: Log
+        self,
+        name: str,
+        dispatcher: Mailbox,
+        clock: Clock,
+        limits: Limits,
+        settings: SchedulerSettings,
+        log: Log,
     ) -> None:
-        self.name, self.mail = name, Mailbox()
-        self._desk, self._clock, self._limits, self._charter, self._log = desk, clock, limits, charter, log
-        self._place, self._allotted = Place(("", 0), 0.0, False), 1
-        self._kept: list[tuple[float, Peer]] = []  # idle, the last used at the end
-        self._turns: deque[asyncio.Future[Peer | None]] = deque()  # of errands that wait for a line
-        self._using = 0
-        self._span, self._span_at = limits.keep, clock.now()  # how long a line may rest and be used again
-        self._errands: dict[tuple[Request, int] | None, asyncio.Task] = {}
-        self._deeds = {
-            Carry: self._start,
-            Look: self._start,
-            Withdraw: self._withdraw,
-            Place: self._settle,
-            Allot: self._allot,
-            Renew: self._renew,
-            Stale: self._mistrust,
-            _Free: self._free,
+        self.name, self.mailbox = name, Mailbox()
+        self._dispatcher, self._clock, self._limits, self._settings, self._log = (
+            dispatcher,
+            clock,
+            limits,
+            settings,
+            log,
+        )
+        self._endpoint, self._quota = WorkerEndpoint(("", 0), 0.0, False), 1
+        self._idle: list[tuple[float, HttpConnection]] = []  # idle, the last used at the end
+        self._waiting: deque[asyncio.Future[HttpConnection | None]] = (
+            deque()
+        )  # of errands that wait for a line
+        self._in_use = 0
+        self._max_idle, self._max_idle_set_at = (
+            limits.worker_idle,
+            clock.now(),
+        )  # how long a line may rest and be used again
+        self._operations: dict[tuple[Request, int] | None, asyncio.Task] = {}
+        self._handlers = {
+            SendPosting: self._start,
+            SendProbe: self._start,
+            CancelPosting: self._cancel,
+            WorkerEndpoint: self._update_endpoint,
+            ConnectionQuota: self._set_quota,
+            ConfigReloaded: self._reload,
+            StaleConnection: self._shorten_idle,
+            _Released: self._release,
         }
 
     async def run(self) -> None:
         while True:
-            within = self._kept[0][0] + self._keep() - self._clock.now() if self._kept else None
-            for message in await self.mail.take(within):
-                self._deeds[type(message)](message)
-            self._tend()
-            while self._turns and self._using < self._allotted:
-                if not (turn := self._turns.popleft()).done():
-                    self._using += 1
-                    turn.set_result(self._line())
-
-    def _start(self, message: Carry | Look) -> None:
+            within = self._idle[0][0] + self._idle_limit() - self._clock.now() if self._idle else None
+            for message in await self.mailbox.take(within):
+                self._handlers[type(message)](message)
+            self._close_expired()
+            while self._waiting and self._in_use < self._quota:
+                if not (slot := self._waiting.popleft()).done():
+                    self._in_use += 1
+                    slot.set_result(self._take_idle())
+
+    def _start(self, message: SendPosting | SendProbe) -> None:
         """An errand, which waits for its turn within the posting's own time."""
-        key = (message.request, message.posting) if isinstance(message, Carry) else None
-        if key in self._errands:  # one probe at a time
+        key = (message.request, message.posting) if isinstance(message, SendPosting) else None
+        if key in self._operations:  # one probe at a time
             return
-        turn = asyncio.get_running_loop().create_future()
-        self._turns.append(turn)
-        work = self._look(turn) if key is None else self._carry(message, turn)
-        self._errands[key] = task = asyncio.create_task(work)
-        task.add_done_callback(lambda task: self._unbegun(task, key, turn))
-
-    def _unbegun(self, task: asyncio.Task, key: tuple[Request, int] | None, turn: asyncio.Future) -> None:
+        slot = asyncio.get_running_loop().create_future()
+        self._waiting.append(slot)
+        work = self._probe(slot) if key is None else self._send_posting(message, slot)
+        self._operations[key] = task = asyncio.create_task(work)
+        task.add_done_callback(lambda task: self._cancelled_before_start(task, key, slot))
+
+    def _cancelled_before_start(
+        self, task: asyncio.Task, key: tuple[Request, int] | None, slot: asyncio.Future
+    ) -> None:
         """A posting called off in the batch that brought it took no step: its end was told to nobody."""
         if task.cancelled():
-            turn.cancel()
-            self._desk.put(Back(*key, Ending.CALLED_OFF) if key else Looked(self.name, False, ()))
-            self.mail.put(_Free(key, turn, _dropped(_granted(turn)), self._place))
-
-    def _withdraw(self, message: Withdraw) -> None:
-        if (task := self._errands.get((message.request, message.posting))) is not None:
+            slot.cancel()
+            self._dispatcher.put(
+                PostingEnded(*key, Ending.CALLED_OFF) if key else ProbeResult(self.name, False, ())
+            )
+            self.mailbox.put(_Released(key, slot, _abort(_assigned_connection(slot)), self._endpoint))
+
+    def _cancel(self, message: CancelPosting) -> None:
+        if (task := self._operations.get((message.request, message.posting))) is not None:
             task.cancel()
 
-    def _settle(self, message: Place) -> None:
-        if not message.same(self._place):
-            for _, line in self._kept:
-                line.drop()
-            self._kept.clear()
-        self._place = message
+    def _update_endpoint(self, message: WorkerEndpoint) -> None:
+        if not message.same_process(self._endpoint):
+            for _, connection in self._idle:
+                connection.abort()
+            self._idle.clear()
+        self._endpoint = message
         # What waits for a line at a worker that drains was sent to it seconds after the drain was told.
-        for turn in () if message.ready else self._turns:
-            if not turn.done():
-                turn.set_exception(_Undone())
+        for slot in () if message.ready else self._waiting:
+            if not slot.done():
+                slot.set_exception(_NotSent())
 
-    def _allot(self, message: Allot) -> None:
-        self._allotted = message.lines
+    def _set_quota(self, message: ConnectionQuota) -> None:
+        self._quota = message.connections
 
-    def _renew(self, message: Renew) -> None:
-        self._limits, self._charter = message.limits, message.charter
+    def _reload(self, message: ConfigReloaded) -> None:
+        self._limits, self._settings = message.limits, message.settings
 
-    def _keep(self) -> float:
+    def _idle_limit(self) -> float:
         """How long a line may rest and be used again; less for a while where some proved dead."""
-        grown = 2.0 ** ((self._clock.now() - self._span_at) / self._limits.trust)
-        return min(self._limits.keep, self._span * grown)
+        growth = 2.0 ** ((self._clock.now() - self._max_idle_set_at) / self._limits.stale_recovery)
+        return min(self._limits.worker_idle, self._max_idle * growth)
 
-    def _mistrust(self, message: Stale) -> None:
+    def _shorten_idle(self, message: StaleConnection) -> None:
         """Lines that rested so long were dead: a posting written to one may have run, and is lost or late."""
-        self._span = min(self._keep(), max(self._limits.brief, message.rested / 2.0))
-        self._span_at = self._clock.now()
-
-    def _free(self, message: "_Free") -> None:
-        self._errands.pop(message.key, None)
-        self._using -= _was_granted(message.turn)
-        if message.line is not None:
-            if message.place.same(self._place) and len(self._kept) + self._using < self._allotted:
-                self._kept.append((self._clock.now(), message.line))
-                message.line.rest()
+        self._max_idle = min(self._idle_limit(), max(self._limits.min_stale_idle, message.idle_ms / 2.0))
+        self._max_idle_set_at = self._clock.now()
+
+    def _release(self, message: "_Released") -> None:
+        self._operations.pop(message.key, None)
+        self._in_use -= _has_result(message.slot)
+        if message.connection is not None:
+            if message.endpoint.same_process(self._endpoint) and len(self._idle) + self._in_use < self._quota:
+                self._idle.append((self._clock.now(), message.connection))
+                message.connection.mark_idle()
             else:
-                message.line.drop()
+                message.connection.abort()
 
-    def _tend(self) -> None:
+    def _close_expired(self) -> None:
         """Close what has been idle long enough, before the worker does, and what the worker has closed."""
-        old = self._clock.now() - self._keep()
-        while self._kept and self._kept[0][0] <= old:
-            self._kept.pop(0)[1].drop()
+        oldest_allowed = self._clock.now() - self._idle_limit()
+        while self._idle and self._idle[0][0] <= oldest_allowed:
+            self._idle.pop(0)[1].abort()
 
-    def _line(self) -> Peer | None:
+    def _take_idle(self) -> HttpConnection | None:
         """A kept line that is still up, the last used first; none where one has to be opened."""
-        while self._kept:
-            since, line = self._kept.pop()
-            if line.usable() and self._clock.now() - since < self._keep():
-                return line
-            line.drop()
+        while self._idle:
+            idle_since, connection = self._idle.pop()
+            if connection.usable() and self._clock.now() - idle_since < self._idle_limit():
+                return connection
+            connection.abort()
         return None
 
-    async def _carry(self, carry: Carry, turn: asyncio.Future) -> None:
+    async def _send_posting(self, command: SendPosting, slot: asyncio.Future) -> None:
         """One posting from its opening to its end, which is told exactly once."""
-        request, posting, until = carry
-        place, told, line = self._place, OPENING, None
+        request, posting, deadline = command
+        endpoint, outcome, connection = self._endpoint, NOT_CONNECTED, None
         try:
-            async with asyncio.timeout_at(self._clock.on_loop(until)):
-                line = await turn
-                if self._clock.now() >= until:  # nothing leaves for a txn past its time
+            async with asyncio.timeout_at(self._clock.on_loop(deadline)):
+                connection = await slot
+                if self._clock.now() >= deadline:  # nothing leaves for a txn past its time
                     raise TimeoutError
-                if line is not None and not line.usable():  # since its turn was given out
-                    line = _dropped(line)
-                place, line = self._place, line or await self._open()
-                if line is not None:
-                    told = await self._exchange(carry, line)
+                if connection is not None and not connection.usable():  # since its turn was given out
+                    connection = _abort(connection)
+                endpoint, connection = self._endpoint, connection or await self._connect()
+                if connection is not None:
+                    outcome = await self._exchange(command, connection)
         except TimeoutError:
-            told = OVERDUE
+            outcome = TIMED_OUT
         except asyncio.CancelledError:
-            told = CALLED_OFF
-        except _Undone:
-            told = UNDONE
+            outcome = CALLED_OFF
+        except _NotSent:
+            outcome = NOT_SENT
         except Exception as problem:
-            self._log.say("posting_broke", worker=self.name, problem=repr(problem))
-            told = DOUBT
-        line = line or _granted(turn)
+            self._log.event("posting_broke", worker=self.name, problem=repr(problem))
+            outcome = MAY_HAVE_RUN
+        connection = connection or _assigned_connection(slot)
         # Told with the connection still open, the next posting was a second copy beside this one.
-        if told in CLOSING:
-            line = _dropped(line)
-        self._desk.put(Back(request, posting, *told))
+        if outcome in CLOSES_CONNECTION:
+            connection = _abort(connection)
+        self._dispatcher.put(PostingEnded(request, posting, *outcome))
         # The line is given back in its own time: the end has been told.
-        kept = None
+        reusable = None
         try:
-            kept = line if line is not None and await self._ended(line) else _dropped(line)
+            reusable = (
+                connection
+                if connection is not None and await self._finish_response(connection)
+                else _abort(connection)
+            )
         except asyncio.CancelledError:
-            kept = _dropped(line)
+            reusable = _abort(connection)
         finally:
-            self.mail.put(_Free((request, posting), turn, kept, place))
+            self.mailbox.put(_Released((request, posting), slot, reusable, endpoint))
 
-    async def _open(self) -> Peer | None:
+    async def _connect(self) -> HttpConnection | None:
         try:
             async with asyncio.timeout(self._limits.connect / 1000.0):
-                return await dial(self._place.address, self._limits)
+                return await dial(self._endpoint.address, self._limits)
         except OSError:  # a time-out of the connection is one too
             return None
 
     def _host(self) -> bytes:
-        host, port = self._place.address
+        host, port = self._endpoint.address
         return b"%s:%d" % (host.encode(), port)
 
-    async def _exchange(self, carry: Carry, line: Peer) -> tuple[Ending, tuple[float, ...], bytes]:
+    async def _exchange(
+        self, command: SendPosting, connection: HttpConnection
+    ) -> tuple[Ending, tuple[float, ...], bytes]:
         """Send the posting and hear it out."""
-        request = carry.request
+        request = command.request
         head = h11.Request(
             method=request.method,
             target=request.target,
             headers=[
                 (b"host", self._host()),
                 *request.headers,
-                (wire.TIME_LEFT, wire.left(carry.until - self._clock.now())),
+                (wire.TIME_LEFT, wire.format_time_left(command.deadline - self._clock.now())),
                 (b"content-length", b"%d" % len(request.body)),
             ],
         )
-        rested = line.idle()
+        idle_ms = connection.idle_ms()
         if self._log.each_txn:
-            self._log.say("line", id=request.id, worker=self.name, idle=rested, used=line.uses)
+            self._log.event("line", id=request.id, worker=self.name, idle=idle_ms, used=connection.uses)
         written_at = self._clock.now()
-        line.write(head, h11.Data(data=request.body), h11.EndOfMessage())
-        if not await line.written():
-            return OPENING
+        connection.write(head, h11.Data(data=request.body), h11.EndOfMessage())
+        if not await connection.flushed():
+            return NOT_CONNECTED
         try:
-            while isinstance(answer := await line.event(), h11.InformationalResponse):
+            while isinstance(answer := await connection.next_event(), h11.InformationalResponse):
                 pass
         except h11.RemoteProtocolError:
             # Nothing came back but a reset, at once: the line was dead as it was taken up.
-            if rested > self._limits.brief and self._clock.now() - written_at < self._limits.hurry:
-                self._desk.put(Stale(rested))
-            return DOUBT
+            if (
+                idle_ms > self._limits.min_stale_idle
+                and self._clock.now() - written_at < self._limits.transfer_when_full
+            ):
+                self._dispatcher.put(StaleConnection(idle_ms))
+            return MAY_HAVE_RUN
         try:
             if not isinstance(answer, h11.Response):
-                return DOUBT
+                return MAY_HAVE_RUN
             if answer.status_code == 200:
-                return await self._hear(carry, line)
+                return await self._read_events(command, connection)
         except h11.RemoteProtocolError:
-            return DOUBT
-        facts = dict(answer.headers)
-        load = wire.load(wire.pairs(facts.get(wire.LOAD, b"")), self._charter.load_columns)
-        unstarted = answer.status_code in (503, 504) and facts.get(wire.NOT_RUN) == b"1"
+            return MAY_HAVE_RUN
+        headers = dict(answer.headers)
+        load = wire.select_figures(
+            wire.parse_figures(headers.get(wire.LOAD, b"")), self._settings.load_columns
+        )
+        not_run = answer.status_code in (503, 504) and headers.get(wire.NOT_RUN) == b"1"
         # What bad clients sent counted as its worker's fault, and took sound workers out.
-        unfit = 400 <= answer.status_code < 500
-        return Ending.FULL if unstarted else Ending.UNFIT if unfit else Ending.ERROR, load, b""
+        invalid_request = 400 <= answer.status_code < 500
+        return Ending.FULL if not_run else Ending.UNFIT if invalid_request else Ending.ERROR, load, b""
 
-    async def _hear(self, carry: Carry, line: Peer) -> tuple[Ending, tuple[float, ...], bytes]:
+    async def _read_events(
+        self, command: SendPosting, connection: HttpConnection
+    ) -> tuple[Ending, tuple[float, ...], bytes]:
         """The lines of a job's stream, up to a last one; a stream without one broke."""
         buffer = bytearray()
-        while isinstance(event := await line.event(), h11.Data):
+        while isinstance(event := await connection.next_event(), h11.Data):
             buffer += event.data
             while (end := buffer.find(b"\n")) >= 0:
                 text, buffer = bytes(buffer[:end]), buffer[end + 1 :]
-                if (told := self._word(carry, text)) is not None:
-                    return told
-            if len(buffer) > self._limits.word:
-                return DOUBT
-        return (buffer and self._word(carry, bytes(buffer))) or DOUBT
-
-    def _word(self, carry: Carry, text: bytes) -> tuple[Ending, tuple[float, ...], bytes] | None:
+                if (outcome := self._parse_event(command, text)) is not None:
+                    return outcome
+            if len(buffer) > self._limits.max_event_line:
+                return MAY_HAVE_RUN
+        return (buffer and self._parse_event(command, bytes(buffer))) or MAY_HAVE_RUN
+
+    def _parse_event(
+        self, command: SendPosting, text: bytes
+    ) -> tuple[Ending, tuple[float, ...], bytes] | None:
         """What one line tells: the end, or none where the stream goes on."""
         if not text.strip():
             return None
         try:
-            word = wire.read_word(text)
-            body = word.body()
+            event = wire.decode_event(text)
+            body = event.body()
         except msgspec.MsgspecError:
-            return DOUBT
-        if word.id.encode() != carry.request.id:
-            return DOUBT
-        match word.state:
+            return MAY_HAVE_RUN
+        if event.id.encode() != command.request.id:
+            return MAY_HAVE_RUN
+        match event.state:
             case wire.STARTED:
-                self._desk.put(Began(carry.request, carry.posting))
+                self._dispatcher.put(PostingStarted(command.request, command.posting))
                 return None
             case wire.RUNNING:
-                self._desk.put(Moved(carry.request, carry.posting, word.share))
+                self._dispatcher.put(PostingProgressed(command.request, command.posting, event.share))
                 return None
             case wire.DONE if body is not None:
-                return Ending.SETTLED, word.figures(self._charter.load_columns), body
+                return Ending.SETTLED, event.figures(self._settings.load_columns), body
             case wire.FAILED:
-                return Ending.ERROR, word.figures(self._charter.load_columns), b""
+                return Ending.ERROR, event.figures(self._settings.load_columns), b""
             case wire.RETURNED:
-                return Ending.FULL, word.figures(self._charter.load_columns), b""
+                return Ending.FULL, event.figures(self._settings.load_columns), b""
             case wire.LOST:
-                return Ending.BROKEN, word.figures(self._charter.load_columns), b""
-        return DOUBT
+                return Ending.BROKEN, event.figures(self._settings.load_columns), b""
+        return MAY_HAVE_RUN
 
-    async def _ended(self, line: Peer) -> bool:
+    async def _finish_response(self, connection: HttpConnection) -> bool:
         """Read the message's end; whether the line can carry another."""
-        if line.state.our_state is not h11.DONE:
+        if connection.state.our_state is not h11.DONE:
             return False
         try:
-            async with asyncio.timeout(self._limits.tail / 1000.0):
-                while line.state.their_state is h11.SEND_BODY:
-                    await line.event()
+            async with asyncio.timeout(self._limits.stream_end / 1000.0):
+                while connection.state.their_state is h11.SEND_BODY:
+                    await connection.next_event()
         except (TimeoutError, h11.RemoteProtocolError):
             return False
-        return line.next_cycle()
+        return connection.next_cycle()
 
-    async def _look(self, turn: asyncio.Future) -> None:
+    async def _probe(self, slot: asyncio.Future) -> None:
         """One probe."""
-        place, load, answered, line, kept = self._place, (), False, None, None
-        path = wire.LOAD_PATH if self._charter.load_columns else wire.HEALTH
+        endpoint, load, answered, connection, reusable = self._endpoint, (), False, None, None
+        path = wire.LOAD_PATH if self._settings.load_columns else wire.HEALTH
         try:
             async with asyncio.timeout(self._limits.probe / 1000.0):
-                line = await turn
-                place, line = self._place, line or await self._open()
-                if line is not None:
+                connection = await slot
+                endpoint, connection = self._endpoint, connection or await self._connect()
+                if connection is not None:
                     headers = [(b"host", self._host())]
-                    line.write(h11.Request(method=b"GET", target=path, headers=headers), h11.EndOfMessage())
-                    answer, body = await line.event(), b""
-                    while isinstance(event := await line.event(), h11.Data) and len(body) < self._limits.body:
+                    connection.write(
+                        h11.Request(method=b"GET", target=path, headers=headers), h11.EndOfMessage()
+                    )
+                    answer, body = await connection.next_event(), b""
+                    while (
+                        isinstance(event := await connection.next_event(), h11.Data)
+                        and len(body) < self._limits.max_body
+                    ):
                         body += bytes(event.data)
                     answered = isinstance(answer, h11.Response) and answer.status_code == 200
-                    load = wire.report(body, self._charter.load_columns)
-                    kept = line if line.next_cycle() else _dropped(line)
-        except (OSError, h11.ProtocolError, _Undone):
-            kept = _dropped(line or _granted(turn))
+                    load = wire.parse_report(body, self._settings.load_columns)
+                    reusable = connection if connection.next_cycle() else _abort(connection)
+        except (OSError, h11.ProtocolError, _NotSent):
+            reusable = _abort(connection or _assigned_connection(slot))
         except Exception as problem:
-            self._log.say("probe_broke", worker=self.name, problem=repr(problem))
-            kept = _dropped(line or _granted(turn))
+            self._log.event("probe_broke", worker=self.name, problem=repr(problem))
+            reusable = _abort(connection or _assigned_connection(slot))
         finally:
-            self._desk.put(Looked(self.name, answered, load))
-            self.mail.put(_Free(None, turn, kept, place))
+            self._dispatcher.put(ProbeResult(self.name, answered, load))
+            self.mailbox.put(_Released(None, slot, reusable, endpoint))
 
 
-class _Undone(Exception):
+class _NotSent(Exception):
     """The worker drains or has left before the errand's turn came."""
 
 
-class _Free(NamedTuple):
+class _Released(NamedTuple):
     """To the worker from its own errand: over, and the line that can carry another, if any."""
 
     key: tuple[Request, int] | None
-    turn: asyncio.Future
-    line: Peer | None
-    place: Place  # where the line leads to
+    slot: asyncio.Future
+    connection: HttpConnection | None
+    endpoint: WorkerEndpoint  # where the line leads to
 
 
-def _was_granted(turn: asyncio.Future) -> bool:
-    return turn.done() and not turn.cancelled() and turn.exception() is None
+def _has_result(slot: asyncio.Future) -> bool:
+    return slot.done() and not slot.cancelled() and slot.exception() is None
 
 
-def _granted(turn: asyncio.Future) -> Peer | None:
+def _assigned_connection(slot: asyncio.Future) -> HttpConnection | None:
     """The line given to a turn, also where its errand was called off before it could take it."""
-    return turn.result() if _was_granted(turn) else None
+    return slot.result() if _has_result(slot) else None
 
 
-def _dropped(line: Peer | None) -> None:
-    if line is not None:
-        line.drop()
+def _abort(connection: HttpConnection | None) -> None:
+    if connection is not None:
+        connection.abort()
--- a/tests/actors.py
+++ b/tests/actors.py
@@ -15,12 +15,22 @@
 from sableford.net import workers
 from sableford.net.client import Client
 from sableford.net.console import Console
-from sableford.net.desk import Desk
+from sableford.net.dispatcher import Dispatcher
 from sableford.net.handover import Handover
-from sableford.net.http import Peer, opened
-from sableford.net.limits import granted
+from sableford.net.http import HttpConnection, open_streams
+from sableford.net.limits import divide_resources
 from sableford.net.log import Log
-from sableford.net.mail import Back, Carry, Clock, Known, Mailbox, Place, Request, Shut, Told
+from sableford.net.messages import (
+    Clock,
+    CloseIfIdle,
+    KnownWorkers,
+    Mailbox,
+    PostingEnded,
+    Request,
+    SendPosting,
+    WorkerEndpoint,
+    WorkerListUpdate,
+)
 from sableford.net.workers import Worker
 from tests.adapter import PROFILE
 
@@ -32,15 +42,21 @@
     async def scene() -> list:
         near, far = socket.socketpair()
         near.setblocking(False)
-        charter = SchedulerSettings(None, ("quote",), (), (), (), 5000.0, 250.0, frozenset({"quote"}))
-        gate = SimpleNamespace(mail=Mailbox(), desk=Mailbox(), clock=Clock(asyncio.get_running_loop()))
-        gate.beside = False
-        gate.limits, gate.charter, gate.log = granted(100, 64, 5000.0, 250.0), charter, Log("n0")
-        client = Client(gate, 0.0)
-        client.mail.put(Shut())
-        client.mail.put(ASKED)
+        settings = SchedulerSettings(None, ("quote",), (), (), (), 5000.0, 250.0, frozenset({"quote"}))
+        acceptor = SimpleNamespace(
+            mailbox=Mailbox(), dispatcher=Mailbox(), clock=Clock(asyncio.get_running_loop())
+        )
+        acceptor.other_serving = False
+        acceptor.limits, acceptor.settings, acceptor.log = (
+            divide_resources(100, 64, 5000.0, 250.0),
+            settings,
+            Log("n0"),
+        )
+        client = Client(acceptor, 0.0)
+        client.mailbox.put(CloseIfIdle())
+        client.mailbox.put(ASKED)
         task = asyncio.create_task(client.run(near))
-        told = await gate.desk.take(500.0)
+        told = await acceptor.dispatcher.take(500.0)
         task.cancel()
         far.close()
         return told
@@ -53,28 +69,28 @@
     """The desk of a busy scheduler finds the call first, whatever waits."""
 
     async def scene() -> tuple[float, list]:
-        clock, limits = Clock(asyncio.get_running_loop()), granted(100, 64, 5000.0, 250.0)
-        charter = parse_settings(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
-        charter = charter._replace(schemes=("quote",), accepted_schemes=frozenset({"quote"}))
+        clock, limits = Clock(asyncio.get_running_loop()), divide_resources(100, 64, 5000.0, 250.0)
+        settings = parse_settings(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
+        settings = settings._replace(schemes=("quote",), accepted_schemes=frozenset({"quote"}))
         log = Log("n0", sink=io.BytesIO())
-        desk = Desk(charter, "5eed", Mailbox(), clock, limits, log)
+        dispatcher = Dispatcher(settings, "5eed", Mailbox(), clock, limits, log)
         handover = Handover("n0", None, clock, limits, log)
         listener = socket.create_server(("127.0.7.5", 0))
         listener.setblocking(False)
-        console = Console(desk.console, handover.mail, clock, limits, log)
+        console = Console(dispatcher.console, handover.mailbox, clock, limits, log)
         console.open(listener)
         places = {"A": ("127.0.7.5", 1), "B": ("127.0.7.5", 2)}
-        sheet = WorkerList([(name, 0, 0, 0, 1, 1.0, 0.0) for name in places])
-        desk.mail.put(Told(sheet, True, places))
-        tasks = [asyncio.create_task(console.run()), asyncio.create_task(desk.run())]
-        tasks.append(asyncio.create_task(handover.run(desk.mail, Mailbox(), Mailbox())))
+        worker_list = WorkerList([(name, 0, 0, 0, 1, 1.0, 0.0) for name in places])
+        dispatcher.mailbox.put(WorkerListUpdate(worker_list, True, places))
+        tasks = [asyncio.create_task(console.run()), asyncio.create_task(dispatcher.run())]
+        tasks.append(asyncio.create_task(handover.run(dispatcher.mailbox, Mailbox(), Mailbox())))
         await asyncio.sleep(0.05)
         requests = [Request(Mailbox(), b"POST", b"/api", [], b"") for _ in range(3000)]
         for number, request in enumerate(requests):
             request.id, request.expiry = b"t%d" % number, clock.now() + 5000.0
         reader, writer = await asyncio.open_connection(*listener.getsockname())
         for request in requests:
-            desk.mail.put(request)
+            dispatcher.mailbox.put(request)
         began = clock.now()
         writer.write(b"POST /workers/A/maint HTTP/1.1\r\nHost: x\r\n\r\n")
         said = await reader.read()
@@ -83,24 +99,24 @@
             task.cancel()
         await asyncio.sleep(0)
         assert said.startswith(b"HTTP/1.1 200"), said
-        return late, desk._rules
+        return late, dispatcher._overrides
 
-    late, rules = asyncio.run(scene())
-    assert late < 1000.0 and rules["A"].out, (late, rules)
+    late, overrides = asyncio.run(scene())
+    assert late < 1000.0 and overrides["A"].out, (late, overrides)
 
 
 def shows_a_call_at_the_console_may_come_split_at_any_byte() -> None:
     call = b"POST /workers/A/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nz"
 
     async def scene() -> None:
-        clock, limits = Clock(asyncio.get_running_loop()), granted(100, 64, 5000.0, 250.0)
+        clock, limits = Clock(asyncio.get_running_loop()), divide_resources(100, 64, 5000.0, 250.0)
         log = Log("n0", sink=io.BytesIO())
         handover = Handover("n0", None, clock, limits, log)
         listener = socket.create_server(("127.0.7.5", 0))
         listener.setblocking(False)
-        console = Console(Mailbox(), handover.mail, clock, limits, log)
+        console = Console(Mailbox(), handover.mailbox, clock, limits, log)
         console.open(listener)
-        console.mail.put(Known(frozenset({"A"})))
+        console.mailbox.put(KnownWorkers(frozenset({"A"})))
         tasks = [asyncio.create_task(console.run())]
         tasks.append(asyncio.create_task(handover.run(Mailbox(), Mailbox(), Mailbox())))
         for at in range(1, len(call)):
@@ -126,44 +142,44 @@
 
     async def scene(comes: str) -> tuple[list, int]:
         loop = asyncio.get_running_loop()
-        clock, limits = Clock(loop), granted(100, 64, 5000.0, 250.0)
-        charter = parse_settings(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
+        clock, limits = Clock(loop), divide_resources(100, 64, 5000.0, 250.0)
+        settings = parse_settings(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
         far_ends: list[socket.socket] = []
 
-        async def dial(address, limits) -> Peer:
+        async def dial(address, limits) -> HttpConnection:
             near, far = socket.socketpair()
             near.setblocking(False)
             far.setblocking(False)
             far_ends.append(far)
-            reader, writer = await opened(limits, sock=near)
-            return Peer(reader, writer, h11.CLIENT, limits)
+            reader, writer = await open_streams(limits, sock=near)
+            return HttpConnection(reader, writer, h11.CLIENT, limits)
 
         workers.dial, whole = dial, workers.dial
-        desk = Mailbox()
-        worker = Worker("w", desk, clock, limits, charter, Log("n0", sink=io.BytesIO()))
+        dispatcher = Mailbox()
+        worker = Worker("w", dispatcher, clock, limits, settings, Log("n0", sink=io.BytesIO()))
         task = asyncio.create_task(worker.run())
         endings = []
         try:
-            worker.mail.put(Place(("w", 1), 0.0, True))
+            worker.mailbox.put(WorkerEndpoint(("w", 1), 0.0, True))
             for name, word in ((b"t1", chunk), (b"t2", chunk.replace(b"t1", b"t2"))):
                 request = Request(Mailbox(), b"POST", b"/api", [(b"x-correlation-id", name)], b"")
                 request.id = name
-                worker.mail.put(Carry(request, 0, clock.now() + 60_000.0))
+                worker.mailbox.put(SendPosting(request, 0, clock.now() + 60_000.0))
                 await until(lambda name=name: posted(name, far_ends))
                 line = posted(name, far_ends)
                 line.recv(9999)
                 answer = done.replace(chunk, word)
                 line.sendall(answer + stray if comes == "glued" and name == b"t1" else answer)
-                (back,) = [one for one in await desk.take(None) if isinstance(one, Back)]
+                (back,) = [one for one in await dispatcher.take(None) if isinstance(one, PostingEnded)]
                 endings.append(back.ending)
                 if name == b"t1" and comes == "at rest":
-                    await until(lambda: worker._kept)
+                    await until(lambda: worker._idle)
                     line.sendall(stray)
-                    await until(lambda: worker._kept[0][1].reader.held)  # it has left the kernel
+                    await until(lambda: worker._idle[0][1].reader.buffered)  # it has left the kernel
                 elif name == b"t1" and comes == "as it is taken":
-                    await until(lambda: worker._kept)
-                    take = worker._line
-                    worker._line = lambda line=line, take=take: (take(), line.sendall(stray))[0]
+                    await until(lambda: worker._idle)
+                    take = worker._take_idle
+                    worker._take_idle = lambda line=line, take=take: (take(), line.sendall(stray))[0]
         finally:
             workers.dial = whole
             task.cancel()
--- a/tests/handover.py
+++ b/tests/handover.py
@@ -13,32 +13,41 @@
 from typing import ClassVar
 
 from sableford.net.handover import Handover
-from sableford.net.limits import granted
+from sableford.net.limits import divide_resources
 from sableford.net.log import Log
-from sableford.net.mail import Beside, Clock, Leave, Mailbox, Rule, Ruling, Share, Turn
+from sableford.net.messages import (
+    Clock,
+    Mailbox,
+    OperatorOverride,
+    OtherProcessServing,
+    OverrideRequest,
+    ProcessCount,
+    Shutdown,
+    WarmUpOwnership,
+)
 
-LIMITS = granted(200, 96, 5000.0, 250.0)
+LIMITS = divide_resources(200, 96, 5000.0, 250.0)
 
 
-class Side:
+class Process:
     """One process's handover with the mailboxes it tells."""
 
-    open: ClassVar[list["Side"]] = []  # of the scene under way
+    instances: ClassVar[list["Process"]] = []  # of the scene under way
 
     def __init__(self, name: str = "n0") -> None:
-        Side.open.append(self)
+        Process.instances.append(self)
         log = Log("n0", sink=io.BytesIO())
         self.it = Handover(name, "127.0.0.1:1", Clock(asyncio.get_running_loop()), LIMITS, log)
-        self.rules, self.share, _ = self.it.begin()
-        self.desk, self.gate, self.keeper = Mailbox(), Mailbox(), Mailbox()
+        self.overrides, self.share, _ = self.it.start()
+        self.dispatcher, self.acceptor, self.config_reloader = Mailbox(), Mailbox(), Mailbox()
         self.task: asyncio.Task | None = None
 
     def serve(self) -> None:
-        self.task = asyncio.create_task(self.it.run(self.desk, self.gate, self.keeper))
+        self.task = asyncio.create_task(self.it.run(self.dispatcher, self.acceptor, self.config_reloader))
 
     async def call(self, worker: str, out: bool) -> None:
         reply = Mailbox()
-        self.it.mail.put(Ruling(Rule(worker, out, time.time() * 1000.0), reply))
+        self.it.mailbox.put(OverrideRequest(OperatorOverride(worker, out, time.time() * 1000.0), reply))
         await reply.take()
 
     async def at_rest(self) -> None:
@@ -50,7 +59,7 @@
         if self.task:
             self.task.cancel()
         await self.at_rest()
-        os.close(self.it._folder.lock)
+        os.close(self.it._directory.lock)
 
     async def end(self) -> None:
         if self.task:
@@ -58,8 +67,8 @@
         await self.at_rest()
 
 
-def told(mail: Mailbox, kind: type) -> list:
-    return [message for message in mail._waiting if isinstance(message, kind)]
+def received(mailbox: Mailbox, kind: type) -> list:
+    return [message for message in mailbox._waiting if isinstance(message, kind)]
 
 
 async def until(holds: Callable[[], bool]) -> None:
@@ -70,12 +79,12 @@
 
 def in_folder(scene: Callable) -> None:
     async def play(folder: Path) -> None:
-        Side.open.clear()
+        Process.instances.clear()
         try:
             await scene(folder)
         finally:  # a thread that still wrote would keep the folder from being removed
-            for side in Side.open:
-                await side.end()
+            for process in Process.instances:
+                await process.end()
 
     with tempfile.TemporaryDirectory() as folder:
         tempfile.tempdir = folder
@@ -87,35 +96,45 @@
 
 def shows_a_call_at_either_process_reaches_the_other_and_the_next_start() -> None:
     async def scene(folder: Path) -> None:
-        old = Side()
+        old = Process()
         old.serve()
         await old.call("a", True)
-        new = Side()
-        assert [rule.worker for rule in new.rules] == ["a"] and new.share == 2
+        new = Process()
+        assert [override.worker for override in new.overrides] == ["a"] and new.share == 2
         new.serve()
         await new.call("a", False)
         await new.call("b", True)
         called = {("a", False), ("b", True)}
-        await until(lambda: {(rule.worker, rule.out) for rule in told(old.desk, Rule)} >= called)
+        await until(
+            lambda: {
+                (override.worker, override.out) for override in received(old.dispatcher, OperatorOverride)
+            }
+            >= called
+        )
         await old.die()
         await new.die()
-        assert {(rule.worker, rule.out) for rule in Side().rules} == {("a", False), ("b", True)}
+        assert {(override.worker, override.out) for override in Process().overrides} == {
+            ("a", False),
+            ("b", True),
+        }
 
     in_folder(scene)
 
 
 def shows_a_call_in_the_last_moments_of_a_process_that_ends_cleanly_reaches_the_other() -> None:
     async def scene(folder: Path) -> None:
-        old = Side()
+        old = Process()
         old.serve()
-        new = Side()
+        new = Process()
         new.serve()
         await old.call("a", True)
         await old.it.close()
         await old.die()
-        await until(lambda: told(new.desk, Rule))
-        await until(lambda: told(new.keeper, Share) == [Share(1)])
-        assert [(rule.worker, rule.out) for rule in told(new.desk, Rule)] == [("a", True)]
+        await until(lambda: received(new.dispatcher, OperatorOverride))
+        await until(lambda: received(new.config_reloader, ProcessCount) == [ProcessCount(1)])
+        assert [
+            (override.worker, override.out) for override in received(new.dispatcher, OperatorOverride)
+        ] == [("a", True)]
         assert [path.suffix for path in next(folder.iterdir()).glob(f"{old.it._token}*")] == []
 
     in_folder(scene)
@@ -123,27 +142,32 @@
 
 def shows_cold_turns_pass_to_the_younger_once_it_serves_and_back_when_it_dies() -> None:
     async def scene(folder: Path) -> None:
-        old = Side()
-        assert old.it.holds()
+        old = Process()
+        assert old.it.owns_warm_up()
         old.serve()
         await asyncio.sleep(0)
-        new = Side()
-        assert not new.it.holds()
+        new = Process()
+        assert not new.it.owns_warm_up()
         await asyncio.sleep(0.4)
-        assert old.it.holds() and not told(old.desk, Turn)  # the new one does not serve yet
+        assert old.it.owns_warm_up() and not received(
+            old.dispatcher, WarmUpOwnership
+        )  # the new one does not serve yet
         new.serve()
         held = []
         while not held or held[-1] != (False, True):
-            held.append((old.it.holds(), new.it.holds()))
+            held.append((old.it.owns_warm_up(), new.it.owns_warm_up()))
             await asyncio.sleep(0.005)
         assert (True, True) not in held, held
-        assert told(old.gate, Beside)[-1].serves and told(old.keeper, Share)[-1].processes == 2
+        assert (
+            received(old.acceptor, OtherProcessServing)[-1].serves
+            and received(old.config_reloader, ProcessCount)[-1].processes == 2
+        )
         await new.die()
-        await until(lambda: old.it.holds())
-        assert told(old.keeper, Share)[-1].processes == 1
-        old.it.mail.put(Leave())
-        await until(lambda: told(old.gate, Leave))
-        assert told(old.gate, Leave) == [Leave()]
+        await until(lambda: old.it.owns_warm_up())
+        assert received(old.config_reloader, ProcessCount)[-1].processes == 1
+        old.it.mailbox.put(Shutdown())
+        await until(lambda: received(old.acceptor, Shutdown))
+        assert received(old.acceptor, Shutdown) == [Shutdown()]
         await old.die()
 
     in_folder(scene)
@@ -151,15 +175,15 @@
 
 def shows_what_is_torn_stale_huge_or_of_another_version_stops_no_start_and_keeps_no_ban() -> None:
     async def scene(folder: Path) -> None:
-        old = Side()
+        old = Process()
         old.serve()
         await old.call("a", True)
         await old.die()
         place = next(folder.iterdir())
         lock = next(place.glob("*.lock"))
         os.utime(lock, (time.time() - 60.0, time.time() - 60.0))
-        later = Side()
-        assert later.rules == []  # the other is long dead
+        later = Process()
+        assert later.overrides == []  # the other is long dead
         await later.die()
         for at, text in enumerate(
             (  # each beside the lock of one that is dead
@@ -173,9 +197,9 @@
         ):
             (place / f"{at}-1.lock").write_bytes(b"")
             (place / f"{at}-1.word").write_bytes(text)
-            side = Side()
-            assert side.rules == [] and side.it.holds(), text[:20]
-            await side.die()
+            process = Process()
+            assert process.overrides == [] and process.it.owns_warm_up(), text[:20]
+            await process.die()
 
     in_folder(scene)
 
@@ -183,17 +207,21 @@
 def shows_without_a_usable_folder_it_stands_alone() -> None:
     async def scene(folder: Path) -> None:
         tempfile.tempdir = str(folder / "none")
-        side = Side()
-        side.serve()
-        await side.call("a", True)
-        assert side.it.holds() and side.share == 1 and told(side.desk, Rule)
+        process = Process()
+        process.serve()
+        await process.call("a", True)
+        assert (
+            process.it.owns_warm_up()
+            and process.share == 1
+            and received(process.dispatcher, OperatorOverride)
+        )
 
     in_folder(scene)
 
 
 def shows_schedulers_of_other_names_have_nothing_to_do_with_each_other() -> None:
     async def scene(folder: Path) -> None:
-        one = Side()
-        assert Side("n1").share == 1 and one.it.holds()
+        one = Process()
+        assert Process("n1").share == 1 and one.it.owns_warm_up()
 
     in_folder(scene)
--- a/tests/socket_scenes.py
+++ b/tests/socket_scenes.py
@@ -32,10 +32,10 @@
 from zlib import crc32
 
 from sableford.intake.index_table import HASH_MASK
-from sableford.net.berth import read_berth
 from sableford.net.cli import run
 from sableford.net.limits import Limits
 from sableford.net.log import Log
+from sableford.net.startup_config import read_config
 from sableford.policy.scheduler import Scheduler
 from tests.notation import bounds, expand_range, options
 from tests.socket_stubs import Stubs
@@ -99,7 +99,7 @@
         if told["peers"] > 1:
             self.berth["peers"] = [self.place, *map(self.peer, range(1, int(told["peers"])))]
         self.file.write_text(json.dumps(self.berth))
-        read = read_berth(str(self.file), talk=True)
+        read = read_config(str(self.file), talk=True)
         read = read._replace(limits=read.limits._replace(**self.limits))
         self.running = asyncio.create_task(run(read, str(self.file), Log("n0", sink=self), talk=True))
         self.running.add_done_callback(lambda task: self.told.append(f"ends {task.result()}"))
--- a/tests/upgrade.py
+++ b/tests/upgrade.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 
 from sableford.net.handover import Handover
-from sableford.net.limits import granted
+from sableford.net.limits import divide_resources
 from sableford.net.log import Log
-from sableford.net.mail import Clock
+from sableford.net.messages import Clock
 from tests.adapter import PROFILE
 from tests.socket_stubs import field, heard
 
@@ -305,11 +305,11 @@
         # One that hangs before its yes: it lives, and says nothing more.
         tempfile.tempdir = str(town.folder)
         try:
-            clock, limits = Clock(asyncio.get_running_loop()), granted(200, 96, 5000.0, 250.0)
+            clock, limits = Clock(asyncio.get_running_loop()), divide_resources(200, 96, 5000.0, 250.0)
             hung = Handover("n0", town.place, clock, limits, Log("n0", sink=io.BytesIO()))
         finally:
             tempfile.tempdir = None
-        hung.begin()
+        hung.start()
         await asyncio.sleep(0.3)
         assert await town.call(door, "POST /workers/A/maint") == 200
         out_at = time.monotonic() + GRACE
