--- a/sableford/common/log_writer.py
+++ b/sableford/common/log_writer.py
@@ -21,9 +21,8 @@
     def __init__(self, file: int) -> None:
         self._file = file
         self._lines: SimpleQueue[bytes] = SimpleQueue()
-        self._queued_bytes = self._written_bytes = (
-            0  # bytes; the first is changed by the event loop only, the second by the thread only
-        )
+        # Bytes; the first is changed by the event loop only, the second by the thread only.
+        self._queued_bytes = self._written_bytes = 0
         self._dropped_lines = 0
         self._thread_started = False
 
--- a/sableford/edge/gateway.py
+++ b/sableford/edge/gateway.py
@@ -94,15 +94,10 @@
         body = int(limits.get("maxBodyBytes", bounds.max_body_bytes))
         head_ms = float(limits.get("headerTimeoutMs", bounds.head_timeout_ms))
         idle_ms = float(limits.get("idleTimeoutMs", bounds.idle_timeout_ms))
-        self.table = self._queries.table = (
-            table  # assigned only after everything was parsed, so that a bad version is not half applied
-        )
-        bounds.max_head_bytes, bounds.max_body_bytes, bounds.head_timeout_ms, bounds.idle_timeout_ms = (
-            head,
-            body,
-            head_ms,
-            idle_ms,
-        )
+        # Assigned only after all values were parsed, so that an invalid version is not partly applied.
+        self.table = self._queries.table = table
+        bounds.max_head_bytes, bounds.max_body_bytes = head, body
+        bounds.head_timeout_ms, bounds.idle_timeout_ms = head_ms, idle_ms
         self.log.event("config", revision=self.table.revision)
 
     def view_changed(self, view: View) -> None:
--- a/sableford/edge/message_queries.py
+++ b/sableford/edge/message_queries.py
@@ -42,10 +42,10 @@
         """The response to a query, or None if the request is not a query."""
         if request.method != "GET":
             return None
-        for path, answer in ((STATUS_PATH, self._get_state), (BODY_PATH, self._get_body)):
+        for path, handler in ((STATUS_PATH, self._get_state), (BODY_PATH, self._get_body)):
             if request.path.startswith(path):
                 ref = request.path.removeprefix(path)
-                return self._access_denied(request, ref) or answer(ref)
+                return self._access_denied(request, ref) or handler(ref)
         return None
 
     def _access_denied(self, request: HttpRequest, ref: str) -> HttpResponse | None:
--- a/sableford/transport/http_server.py
+++ b/sableford/transport/http_server.py
@@ -220,14 +220,14 @@
             request = self._queued.popleft()
             self._queued_bytes -= len(request.body)
             try:
-                answer = self.server.handle(request)
+                response = self.server.handle(request)
             except Exception as problem:
                 self._handler_failed(problem)
                 return
-            if not isinstance(answer, HttpResponse):
-                self._task = self._loop.create_task(self._respond_later(answer, request))
+            if not isinstance(response, HttpResponse):
+                self._task = self._loop.create_task(self._respond_later(response, request))
                 return
-            if not self._write(answer, request.keep_alive, request.method):
+            if not self._write(response, request.keep_alive, request.method):
                 return
         if not self._closed and not self._queued:
             self._finish_queue()
@@ -242,9 +242,9 @@
             self._state_since = self._loop.time()
             self.transport.resume_reading()
 
-    async def _respond_later(self, answer: Awaitable[HttpResponse], request: HttpRequest) -> None:
+    async def _respond_later(self, awaitable: Awaitable[HttpResponse], request: HttpRequest) -> None:
         try:
-            response = await answer
+            response = await awaitable
         except Exception as problem:
             self._task = None
             self._handler_failed(problem)
@@ -258,12 +258,12 @@
         self._loop.call_exception_handler({"message": "a request failed", "exception": problem})
         self._write(HttpResponse(500), False)
 
-    def _write(self, answer: HttpResponse, keep_alive: bool, method: str = "") -> bool:
+    def _write(self, response: HttpResponse, keep_alive: bool, method: str = "") -> bool:
         """Writes a response; returns whether the connection stays open."""
         keep_alive = keep_alive and not self.server.bounds.closing
         if self._closed or self.transport.is_closing():
             return False
-        self.transport.write(encode_response(answer, keep_alive, method))
+        self.transport.write(encode_response(response, keep_alive, method))
         if not keep_alive:
             self._close()
         return keep_alive
--- a/tests/calls.py
+++ b/tests/calls.py
@@ -106,9 +106,8 @@
         assert loop.time() == 0.7 and not len(link._pending)  # a cancelled call is removed
         given_up = link.request(ASK)
         given_up.cancel()
-        link.data_received(
-            frame({"a": sent_by(transport)[1]["q"], "is": "late"})
-        )  # in the same loop iteration
+        # In the same iteration of the loop.
+        link.data_received(frame({"a": sent_by(transport)[1]["q"], "is": "late"}))
         assert not link.closed
         later = link.request(ASK)
         link.data_received(frame({"a": sent_by(transport)[0]["q"], "is": "late"}))
