--- a/sableford/net/cli.py
+++ b/sableford/net/cli.py
@@ -72,7 +72,7 @@
         if config.fleet is not None
         else None
     )
-    peer_mailbox = fleet_actor.mailbox if fleet_actor is not None else peers.mailbox
+    peer_mailbox = fleet_actor.mail if fleet_actor is not None else peers.mailbox
     dispatcher = Dispatcher(
         settings, config.seed, discovery.mailbox, clock, limits, log, peer_mailbox, console_mailbox
     )
@@ -92,7 +92,7 @@
         clock,
         limits,
         log,
-        fleet_actor.mailbox if fleet_actor is not None else None,
+        fleet_actor.mail if fleet_actor is not None else None,
     )
     if config.console is not None:
         console.open(open_listener("console", config.console, config))
@@ -100,7 +100,7 @@
     def request_shutdown() -> None:
         console.mailbox.put_first(Shutdown())
         if fleet_actor is not None:
-            fleet_actor.mailbox.put(Shutdown())
+            fleet_actor.mail.put(Shutdown())
         handover.mailbox.put_first(Shutdown())  # which tells the gate whether another process serves
 
     for stop in (signal.SIGTERM, signal.SIGINT):
