--- a/sableford/fleet/actor.py
+++ b/sableford/fleet/actor.py
@@ -29,15 +29,21 @@
 from sableford.fleet.membership.messages import MembershipMessage
 from sableford.net.limits import Limits
 from sableford.net.log import Log
-from sableford.net.mail import Asked, Clock, FleetSeen, Leave, Mailbox, Say, Word
+from sableford.net.messages import (
+    Clock,
+    FleetStatus,
+    Mailbox,
+    PeerPayload,
+    RecordRequest,
+    SendToPeers,
+    Shutdown,
+)
 
 BIND_RETRY_MS = 100.0  # between attempts to bind an address that another process still holds
 DISK_RETRY_MS = 1000.0  # between attempts to open the folder, or to write to a disk that failed
 STATUS_INTERVAL_MS = 250.0  # between two status reports for the operators' console
 DISCARD_LOG_INTERVAL_MS = 10_000.0  # between two log events on discarded datagrams
-RECEIVE_BUFFER_BYTES = (
-    1_048_576  # receive buffer of the socket, for datagrams that arrive while the event loop is busy
-)
+RECEIVE_BUFFER_BYTES = 1_048_576  # holds datagrams that arrive while the event loop is busy
 
 
 class PolicyMessage(msgspec.Struct, array_like=True, frozen=True, tag=31):
@@ -83,13 +89,8 @@
         self, config: FleetConfig, seed: str, clock: Clock, limits: Limits, log: Log, console: Mailbox
     ) -> None:
         self.mail = Mailbox()
-        self._config, self._clock, self._limits, self._log, self._console = (
-            config,
-            clock,
-            limits,
-            log,
-            console,
-        )
+        self._config, self._clock, self._limits = config, clock, limits
+        self._log, self._console = log, console
         self._seed, self._process_id = crc32(seed.encode()), int.from_bytes(os.urandom(6), "little")
         self._peer_names = list(config.peers)
         message_types = MembershipMessage | raft_messages.RaftMessage | PolicyMessage
@@ -113,16 +114,16 @@
         try:
             await self._run(scheduler_mailbox)
         except Exception as problem:
-            self._log.say("fleet_failed", problem=repr(problem), at=_raised_at(problem))
+            self._log.event("fleet_failed", problem=repr(problem), at=_raised_at(problem))
             if self._transport is not None:
                 self._transport.close()
             for reply in self._pending_replies.values():
                 reply.put((False, 0, "the fleet's part has failed"))
             status = {"name": self._config.name, "failed": repr(problem)}
-            self._console.put(FleetSeen(msgspec.json.encode(status)))
+            self._console.put(FleetStatus(msgspec.json.encode(status)))
         while True:
             for message in await self.mail.take():
-                if isinstance(message, Asked):
+                if isinstance(message, RecordRequest):
                     message.reply.put((False, 0, "the fleet's part has failed"))
 
     async def _run(self, scheduler_mailbox: Mailbox) -> None:
@@ -132,15 +133,15 @@
                 match message:
                     case _Datagram(data, source):
                         self._receive(now, data, source, scheduler_mailbox)
-                    case Say(peers, body):
+                    case SendToPeers(peers, body):
                         self._send_policy_message(peers, body)
-                    case Asked():
+                    case RecordRequest():
                         self._handle_request(now, message)
                     case _FolderOpened(recovered, problem):
                         self._handle_opened(now, recovered, problem)
                     case _WriteFinished(number, problem):
                         self._handle_written(now, number, problem)
-                    case Leave() if self._membership is not None:
+                    case Shutdown() if self._membership is not None:
                         self._apply(self._membership.leave())
             await self._tick(self._clock.now())
 
@@ -176,12 +177,12 @@
             self._raft.handle_commit_hint(now, newest_commit)
         if now >= self._status_at:
             self._status_at = now + STATUS_INTERVAL_MS
-            self._console.put(FleetSeen(msgspec.json.encode(self.status())))
+            self._console.put(FleetStatus(msgspec.json.encode(self.status())))
         if now >= self._discard_log_at + DISCARD_LOG_INTERVAL_MS:
             self._discard_log_at = now
             discards = dict(self._codec.discarded)
             if discards != self._logged_discards:
-                self._log.say("words_passed_over", **discards)
+                self._log.event("words_passed_over", **discards)
                 self._logged_discards = discards
 
     # Socket
@@ -196,23 +197,19 @@
             )
         except OSError as problem:
             if self._bind_error != "deaf":
-                self._log.say("fleet_deaf", problem=repr(problem))
+                self._log.event("fleet_deaf", problem=repr(problem))
             self._bind_error = "deaf"
             return
         with suppress(OSError):
             sock = self._transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._bind_error = ""
-        peers = {name: "{}:{}".format(*at) for name, at in self._config.peers.items()}
+        config = self._config
+        peers = {name: "{}:{}".format(*at) for name, at in config.peers.items()}
         self._membership = Membership(
-            self._config.name,
-            self._process_id,
-            peers[self._config.name],
-            peers,
-            self._clock.now(),
-            self._seed,
+            config.name, self._process_id, peers[config.name], peers, self._clock.now(), self._seed
         )
-        self._log.say("fleet_heard", listen=address, peers=len(peers), voters=self._config.voters)
+        self._log.event("fleet_heard", listen=address, peers=len(peers), voters=self._config.voters)
 
     def _receive(self, now: float, data: bytes, source: tuple[str, int], scheduler_mailbox: Mailbox) -> None:
         if self._membership is None or (received := self._codec.decode(data, source)) is None:
@@ -221,7 +218,7 @@
         match message:
             case PolicyMessage(body):
                 if sender in self._config.peers and sender != self._config.name:
-                    scheduler_mailbox.put(Word(self._peer_names.index(sender), body))
+                    scheduler_mailbox.put(PeerPayload(self._peer_names.index(sender), body))
             case _ if isinstance(message, MembershipMessage):
                 self._apply(self._membership.handle_message(now, sender, process_id, message))
             case _:
@@ -248,7 +245,7 @@
             for data in self._codec.encode(message):
                 self._transport.sendto(data, at)
         except ValueError as problem:
-            self._log.say("word_too_long", to=to, problem=str(problem))
+            self._log.event("word_too_long", to=to, problem=str(problem))
 
     # Disk
 
@@ -273,17 +270,17 @@
         self._opening, self._retry_at = False, now + DISK_RETRY_MS
         if recovered is None:
             if self._disk_error != problem:
-                self._log.say("record_folder", folder=self._config.folder, problem=problem)
+                self._log.event("record_folder", folder=self._config.folder, problem=problem)
             self._disk_error = problem
             return
         for finding in recovered.said:
-            self._log.say("record_folder", folder=self._config.folder, problem=finding)
+            self._log.event("record_folder", folder=self._config.folder, problem=finding)
         self._disk_error = ""
         self._raft = RaftNode(
             self._config.name, self._process_id, self._config.voters, recovered.held, now, self._seed
         )
         raft = self._raft
-        self._log.say("record_opened", last=raft.last, term=raft.term, standing=raft.standing.name)
+        self._log.event("record_opened", last=raft.last, term=raft.term, standing=raft.standing.name)
         if recovered.failed:
             self._handle_disk_failure(now, recovered.failed)
 
@@ -309,7 +306,7 @@
             self._handle_disk_failure(now, problem)
         else:
             if self._disk_error:
-                self._log.say("record_disk", problem="")
+                self._log.event("record_disk", problem="")
             self._disk_error = ""
             self._apply(self._raft.handle_persisted(now, number))
         self._write_next()
@@ -319,7 +316,7 @@
         if not self._disk_error or self._rewrite_at is None:
             self._rewrite_at = now + DISK_RETRY_MS
         if not self._disk_error:  # consequences of the first failure have log events of their own
-            self._log.say("record_disk", problem=problem)
+            self._log.event("record_disk", problem=problem)
             self._disk_error = problem
         self._unwritten.clear()
         self._apply(self._raft.handle_disk_failure(now, problem))
@@ -337,18 +334,18 @@
                     if (reply := self._pending_replies.pop(number, None)) is not None:
                         reply.put((yes, index, why))
                 case LogEvent(event, facts):
-                    self._log.say(event, **facts)
+                    self._log.event(event, **facts)
                 case StateChanged(name, state, process_id, why):
-                    self._log.say("member", member=name, state=state.name, birth=process_id, why=why)
+                    self._log.event("member", member=name, state=state.name, birth=process_id, why=why)
                 case DuplicateName(name, process_ids):
-                    self._log.say("twins", member=name, births=process_ids)
+                    self._log.event("twins", member=name, births=process_ids)
                 case raft_effects.Committed() | raft_effects.SnapshotInstalled():
                     pass
                 case _:
                     self._send(effect.to, effect.address, effect.message)
         self._write_next()
 
-    def _handle_request(self, now: float, message: Asked) -> None:
+    def _handle_request(self, now: float, message: RecordRequest) -> None:
         """Handles a console request that reads or sets the value of a key."""
         if self._raft is None:
             message.reply.put((False, 0, "the folder is not open"))
@@ -357,7 +354,9 @@
         number, effects = self._raft.propose(now, data)
         self._pending_replies[number] = message.reply if data is not None else _ReadReply(message, self._raft)
         self._apply(effects)
-        asyncio.get_running_loop().call_later(self._limits.call_in / 1000.0, self._expire_request, number)
+        asyncio.get_running_loop().call_later(
+            self._limits.operator_call / 1000.0, self._expire_request, number
+        )
 
     def _expire_request(self, number: int) -> None:
         if self._pending_replies.pop(number, None) is not None and self._raft is not None:
@@ -406,7 +405,7 @@
 class _ReadReply:
     """Reply mailbox of a read: adds the value of the key when the read has been confirmed."""
 
-    def __init__(self, message: Asked, raft: RaftNode) -> None:
+    def __init__(self, message: RecordRequest, raft: RaftNode) -> None:
         self._message, self._raft = message, raft
 
     def put(self, answer: tuple[bool, int, str]) -> None:
