--- a/sableford/fleet/membership/core.py
+++ b/sableford/fleet/membership/core.py
@@ -529,9 +529,7 @@
         parts = [
             tuple(updates[at : at + MAX_SYNC_UPDATES]) for at in range(0, len(updates), MAX_SYNC_UPDATES)
         ]
-        return [
-            Send(sender, member.address, Sync(message.number, fraction, is_answer=True)) for fraction in parts
-        ]
+        return [Send(sender, member.address, Sync(message.number, part, is_answer=True)) for part in parts]
 
 
 def _bucket(name: str) -> int:
