--- a/sableford/net/__init__.py
+++ b/sableford/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real scheduler: the same decisions on sockets. Wire words end here, and nothing is decided here."""
+"""The scheduler on real sockets: wire formats and I/O around the scheduling decisions made elsewhere."""
--- a/sableford/net/acceptor.py
+++ b/sableford/net/acceptor.py
@@ -1,7 +1,7 @@
-"""The gate: it accepts connections from clients, and ends those that have to go.
+"""Accepts client connections, and closes some of them at the connection limit and at shutdown.
 
-It owns which connections go when room is short, and the order in which they end with the process. It must
-never read what a client sends.
+It decides which connections are closed at the limit, and in which order they end with the process. What
+clients send is read by their own actors.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class Acceptor:
-    """Accepts connections within the limit, makes room in it, and closes the door at the end."""
+    """Actor that accepts connections within the limit and closes the listener at shutdown."""
 
     def __init__(
         self,
@@ -50,13 +50,13 @@
         self.limits, self.settings, self.log = limits, settings, log
         self._listener = listener
         self._clients: dict[Client, asyncio.Task] = {}
-        # By what each has done, since when; in every one the oldest stands first.
-        self._without_request: dict[Client, float] = {}  # connected, nothing came
-        self._reading: dict[Client, float] = {}  # a request has begun to come
-        self._unserved_idle: dict[Client, float] = {}  # answered, but brought no txn yet
+        # Clients by state, with the time they entered it; the oldest come first.
+        self._without_request: dict[Client, float] = {}  # connected, sent nothing
+        self._reading: dict[Client, float] = {}  # a request is incomplete
+        self._unserved_idle: dict[Client, float] = {}  # answered, but without a txn so far
         self._idle: dict[Client, float] = {}  # between two txns
-        self._lingering: dict[Client, float] = {}  # has its last answer
-        self._ending: set[Client] = set()  # told to close
+        self._lingering: dict[Client, float] = {}  # last response sent
+        self._ending: set[Client] = set()  # asked to close
         self._reserved_bytes: dict[Client, int] = {}  # bytes granted
         self._rejections: Counter[str] = Counter()
         self._reported_at = 0.0
@@ -65,7 +65,7 @@
         self._stopped_at, self._accepting, self.other_serving = 0.0, True, False
 
     async def run(self) -> None:
-        """Until asked to leave and the last client has its answer."""
+        """Runs until shutdown is requested and the last client is answered."""
         accept_task = asyncio.create_task(self._accept())
         while self._accepting or self._clients or not self.mailbox.empty():
             for message in await self.mailbox.take(self._next_timeout()):
@@ -85,11 +85,11 @@
                     group.clear()
 
     def _drain_time(self) -> float:
-        """How long open connections are served on: alone till the other schedulers are back."""
+        """How long open connections are still served; without another process, until peers are back."""
         return self.limits.drain_with_other if self.other_serving else self.limits.serve_after_stop
 
     def _stopped_for(self, duration: float) -> bool:
-        """Whether it was asked to leave that long ago."""
+        """Whether shutdown was requested at least `duration` ms ago."""
         return self._stopped_at > 0.0 and self.clock.now() >= self._stopped_at + duration
 
     def _next_timeout(self) -> float | None:
@@ -163,17 +163,17 @@
             new_group[client] = self.clock.now()
 
     def _make_room(self) -> None:
-        """At the limit what has done the least goes first; then new ones wait in the backlog.
+        """Closes connections at the limit; beyond that, new ones wait in the backlog.
 
-        Those that linger have their answer. Usual clients send at once: who connected and brought no txn for
-        a while, or began and did not end, goes before who rests between two txns; and where there are more
-        of the first than have to go, but none for long enough, that is waited for.
+        Lingering connections already have their answer. Usual clients send at once, so connections that sent
+        no txn for a while or an incomplete request are closed before those idle between two txns. If enough
+        connections of the former kinds exist but none is old enough yet, they are waited for.
         """
         if len(self._clients) < self.limits.clients:
             self._has_room.set()
         else:
             self._has_room.clear()
-        # Closing takes a moment: counted anew at each message, it closed more and more.
+        # Closing takes time: without subtracting those that are closing, each message closed more.
         excess = len(self._clients) - len(self._ending) + 1 - self.limits.clients
         overdue = self.clock.now() - self.limits.transfer_when_full
         for group, command, not_after in (
@@ -197,7 +197,7 @@
                 excess -= 1
 
     def _report_rejections(self) -> None:
-        """What was turned away is counted: told one by one it was the dearest part of a flood."""
+        """Logs rejections as counts: one line each was the largest cost of a flood of bad requests."""
         if self._rejections and (
             self._stopped_at or self.clock.now() - self._reported_at >= self.limits.report_interval
         ):
@@ -211,7 +211,7 @@
             await self._has_room.wait()
             try:
                 sock, _ = await loop.sock_accept(self._listener)
-            except OSError as problem:  # out of descriptors: what is open goes on, and frees some
+            except OSError as problem:  # out of descriptors: open connections go on and free some
                 self.log.event("accept_failed", problem=repr(problem))
                 await asyncio.sleep(0.05)
                 continue
@@ -227,13 +227,13 @@
             self._has_room.clear()
 
     def _close(self) -> None:
-        """Take what still lies in the accept queue, then close the door; out of descriptors, later."""
+        """Accepts the backlog, then closes the listener; if out of descriptors, this is tried again later."""
         while True:
             try:
                 self._register(self._listener.accept()[0])
             except BlockingIOError:
                 break
-            except OSError:  # closed over what waited for a descriptor, it lost what had been taken
+            except OSError:  # closing now would reset connections that wait for a descriptor
                 return
         self._listener.close()
         self._accepting = False
--- a/sableford/net/acceptor_messages.py
+++ b/sableford/net/acceptor_messages.py
@@ -1,5 +1,6 @@
-"""What a client's actor tells the gate. None is a kind of another: a closed one taken for a resting one was
-never let go.
+"""Messages from a client's actor to the acceptor.
+
+No message class may derive from another: a Closed that matched as Idle was never removed.
 """
 
 from typing import TYPE_CHECKING, NamedTuple
@@ -9,45 +10,45 @@
 
 
 class Idle(NamedTuple):
-    """Between two requests; `proved` where a txn was answered on it."""
+    """The connection is between requests; `served` if a transaction was answered on it."""
 
     client: "Client"
     served: bool
 
 
 class RequestStarted(NamedTuple):
-    """A request has begun to come."""
+    """The first bytes of a request have arrived."""
 
     client: "Client"
 
 
 class RequestComplete(NamedTuple):
-    """A request has come whole."""
+    """A request has been received completely."""
 
     client: "Client"
 
 
 class Lingering(NamedTuple):
-    """It has its last answer."""
+    """The last response was sent; the connection is read until the peer closes it."""
 
     client: "Client"
 
 
 class Closed(NamedTuple):
-    """The connection is gone."""
+    """The connection is closed."""
 
     client: "Client"
 
 
 class BodyReservation(NamedTuple):
-    """A body of so many bytes is to come."""
+    """Asks for memory for a body of `size` bytes."""
 
     client: "Client"
     size: int
 
 
 class RequestRejected(NamedTuple):
-    """A request got a plain 4xx or 5xx."""
+    """A request was answered with a plain 4xx or 5xx."""
 
     status: int
     reason: str
--- a/sableford/net/cli.py
+++ b/sableford/net/cli.py
@@ -1,7 +1,4 @@
-"""The command line, and the order in which the actors start and end.
-
-It owns the exit code. It must never do an actor's work.
-"""
+"""The command line, and the order in which the actors start and end."""
 
 import asyncio
 import gc
@@ -26,18 +23,19 @@
 from sableford.net.startup_config import ConfigReloader, ReloadConfig, StartupConfig, read_config
 
 EXIT_BAD_CONFIG, EXIT_ACTOR_FAILED = 2, 70
-LOG_FLUSH_MS = 200.0  # ms for the last lines of the log to be read: an end waits for no reader
+LOG_FLUSH_MS = 200.0  # at exit, the log's reader has this long to take the last lines
 
 
 def open_listener(field: str, address: tuple[str, int], config: StartupConfig) -> socket.socket:
-    """A listening socket; a kill a moment ago does not keep the address taken."""
+    """Opens a listening socket; an address left in TIME_WAIT by a killed process can be reused."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if config.console is not None and field == "listen":  # the next version comes up beside this one
+        # Lets the next version start while this one runs.
+        if config.console is not None and field == "listen":
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        # What a connection may hold unread is bounded there too, and handed down to each.
+        # Bounds unread bytes per connection in the kernel; accepted sockets inherit it.
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, config.limits.read_size)
         listener.bind(address)
         listener.listen(config.limits.backlog)
@@ -49,7 +47,7 @@
 
 
 async def run(config: StartupConfig, path: str, log: Log, talk: bool = False, fleet: bool = False) -> int:
-    """Start every actor, and end when the gate has."""
+    """Starts every actor, and ends when the acceptor has."""
     loop, settings = asyncio.get_running_loop(), config.settings
     loop.set_exception_handler(
         lambda loop, message: log.event("unhandled", **{k: repr(v) for k, v in message.items()})
@@ -80,11 +78,8 @@
     if handover.enabled():
         dispatcher.inherit(handover.mailbox, snapshot.learned if snapshot is not None else None)
     config_reloader = ConfigReloader(path, log, processes, talk, fleet)
-    for message in (
-        *overrides,
-        WarmUpOwnership(handover.owns_warm_up()),
-        worker_list,
-    ):  # lie there before any txn can
+    # Queued before any txn can arrive.
+    for message in (*overrides, WarmUpOwnership(handover.owns_warm_up()), worker_list):
         dispatcher.mailbox.put(message)
     console = Console(
         console_mailbox,
@@ -101,7 +96,7 @@
         console.mailbox.put_first(Shutdown())
         if fleet_actor is not None:
             fleet_actor.mail.put(Shutdown())
-        handover.mailbox.put_first(Shutdown())  # which tells the gate whether another process serves
+        handover.mailbox.put_first(Shutdown())  # which informs the acceptor
 
     for stop in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(stop, request_shutdown)
@@ -140,7 +135,7 @@
 
 
 def create_fleet_actor(*given: object) -> object:
-    """The fleet's actor, which an ordinary start doesn't pay for."""
+    """Creates the fleet's actor, whose modules are only imported when needed."""
     return import_module("sableford.fleet.actor").Fleet(*given)
 
 
@@ -159,7 +154,7 @@
 
 
 class _LazyGroup(click.Group):
-    """Commands that an ordinary start must not pay for are imported when they are called."""
+    """A command group that imports some commands only when they are called, to keep the start fast."""
 
     LAZY_COMMANDS: ClassVar = {"rig": "sableford.rig.cli", "fleet": "sableford.fleet.cli"}
 
--- a/sableford/net/client.py
+++ b/sableford/net/client.py
@@ -1,8 +1,8 @@
-"""One connection from a client, an actor of its own.
+"""The actor of one client connection.
 
-It owns that a request is read whole, checked for form and answered once on the connection it came on. It must
-never answer 429 or 503 of its own accord, which are words of the desk, nor close over bytes that lie unread,
-nor store what it is going to refuse.
+It reads each request completely, validates its form and answers it once on the same connection. Only the
+dispatcher's replies are answered with 429 or 503. The connection is not closed over unread bytes, and a body
+that will be rejected is not stored.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 
 
 class InvalidRequest(Exception):
-    """The request can't be taken: a plain status and why."""
+    """The request is rejected with a plain status and a reason."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -54,27 +54,23 @@
 
 
 class Client:
-    """One connection. Between requests it rests; with one taken it waits for the desk's answer."""
+    """One connection: idle between requests, waiting for the dispatcher while one is in flight."""
 
     def __init__(self, acceptor: "Acceptor", stopped_at: float) -> None:
         self.mailbox = Mailbox()
-        self._acceptor, self._dispatcher, self._clock, self._limits = (
-            acceptor.mailbox,
-            acceptor.dispatcher,
-            acceptor.clock,
-            acceptor.limits,
-        )
+        self._acceptor, self._dispatcher = acceptor.mailbox, acceptor.dispatcher
+        self._clock, self._limits = acceptor.clock, acceptor.limits
         self._settings, self._log, self._stopped_at = acceptor.settings, acceptor.log, stopped_at
         self._other_serving = acceptor.other_serving
         self._connection: HttpConnection | None = None
         self._head: h11.Request | None = None
-        self._rejection: InvalidRequest | None = None  # of a request whose framing is sound: it is read past
+        # Of a request with valid framing, whose body is skipped.
+        self._rejection: InvalidRequest | None = None
         self._body, self._size = bytearray(), 0
-        self._state_since = (
-            self._clock.now()
-        )  # of the opening, the rest, a request's first byte, or the lingering
+        # Start of the connection, of being idle, of the current request, or of lingering.
+        self._state_since = self._clock.now()
         self._opened_at = self._state_since
-        self._served = False  # a txn that came on it was answered
+        self._served = False  # a txn on this connection was answered
         self._request: Request | None = None
         self._reading = self._lingering = self._close_requested = self._closed = self._awaiting_body_grant = (
             self._grace_used
@@ -95,7 +91,7 @@
                     if not self._closed:
                         self._handle(message)
                         await self._drain()
-                # Asked to close between two requests, it closed over one that was read but not yet looked at.
+                # Between requests, bytes that were read but not parsed yet may belong to the next request.
                 if self._close_requested and self._is_idle() and await self._nothing_unread():
                     self._closed = True
         except Exception as problem:
@@ -117,7 +113,7 @@
             self._acceptor.put(Closed(self))
 
     async def _read_loop(self) -> None:
-        """Bytes go into the mailbox one read at a time, the next when the last was used up."""
+        """Puts bytes into the mailbox one read at a time, the next once the last is consumed."""
         while data := await self._connection.read_chunk():
             self._wants_data.clear()
             self.mailbox.put(data)
@@ -125,7 +121,7 @@
         self.mailbox.put(b"")
 
     def _resume_reading(self) -> None:
-        """Read on: past a whole request as much as one read holds, after the last word its limit."""
+        """Allows the next read, unless enough is buffered beyond the request or discarded after the last."""
         pending = self._connection.state.trailing_data[0]
         if self._lingering:
             buffer_full = self._discarded > self._limits.max_discarded
@@ -137,7 +133,7 @@
             self._wants_data.set()
 
     async def _drain(self) -> None:
-        """A slow reader is waited for, within its limit."""
+        """Waits for a slow client to read, within the transfer limit."""
         try:
             async with asyncio.timeout(self._limits.transfer / 1000.0):
                 await self._connection.writer.drain()
@@ -150,7 +146,7 @@
         return max(0.0, (self._resume_at or self._state_since + self._state_timeout()) - self._clock.now())
 
     def _state_timeout(self) -> float:
-        """How long it may stay as it is; until something was served, from the connection's start on."""
+        """Maximum time in the current state; before a txn was served, counted from the connection's start."""
         limits = self._limits
         if self._lingering:
             return limits.linger
@@ -159,14 +155,14 @@
         return limits.transfer if self._reading else limits.client_idle
 
     async def _handle_timeout(self) -> None:
-        """Nothing came for too long, or the pause after a refusal is over."""
+        """The state's time is over, or the pause after a rejection."""
         if self._resume_at:
             self._resume_at = 0.0
             self._advance()
         elif self._lingering:
             self._closed = True
         elif not await self._nothing_unread() and not self._grace_used:
-            # What lay in the kernel as the time was up may be the rest of the request: it is read first.
+            # Unread bytes in the kernel may be the rest of the request: they are read first.
             self._grace_used, self._state_since = True, self._state_since + self._limits.transfer_when_full
         elif self._reading:
             self._reject(408, "too slow")
@@ -177,8 +173,8 @@
             self._resume_reading()
 
     async def _nothing_unread(self) -> bool:
-        """Whether nothing has come: in the kernel, with the feeder, or in the mailbox."""
-        await asyncio.sleep(0)  # the feeder's turn
+        """Whether no bytes wait in the kernel, the reader task or the mailbox."""
+        await asyncio.sleep(0)  # lets the reader task run
         return self.mailbox.empty() and not self._connection.has_unread()
 
     def _handle(self, message: object) -> None:
@@ -224,16 +220,15 @@
                 self._advance()
 
     def _request_started(self) -> None:
-        """A request has begun to come."""
+        """Records that the first bytes of a request arrived."""
         self._reading = True
-        if (
-            self._served
-        ):  # the first one's time counts from the connection's start: dripping stretches nothing
+        # The first request's time counts from the connection's start: slow sending does not extend it.
+        if self._served:
             self._state_since, self._grace_used = self._clock.now(), False
         self._acceptor.put(RequestStarted(self))
 
     def _advance(self) -> None:
-        """Read on to the end of one request."""
+        """Parses buffered bytes up to the end of one request."""
         state = self._connection.state
         try:
             while not (
@@ -265,12 +260,12 @@
             self._reject(problem.status, problem.reason)
 
     def _check_head(self, head: h11.Request) -> None:
-        """All that the head alone tells, before any of the body is stored."""
-        if not self._reading:  # it came in one read with the one before
+        """Validates the head before any of the body is stored."""
+        if not self._reading:  # it arrived in the same read as the previous one
             self._request_started()
         self._head, self._body, self._size, self._rejection = head, bytearray(), 0, None
         names = [name for name, _ in head.headers]
-        # Both say where the body ends: by one of them a whole other request stood inside it, and went on.
+        # Request smuggling: with two framing headers a second request could be hidden in the body.
         if wire.CODING in names and (wire.LENGTH in names or head.http_version < b"1.1"):
             raise InvalidRequest(400, "two lengths")
         if any(names.count(name) > 1 for name in wire.SINGLE_HEADERS):
@@ -293,7 +288,7 @@
             self._acceptor.put(BodyReservation(self, max_size))
 
     def _validate(self, method: bytes, path: bytes, headers_given: dict[bytes, bytes]) -> None:
-        """Whether a request of this form can be taken at all."""
+        """Raises InvalidRequest if method, path or headers are not acceptable."""
         if path == wire.READY:
             if method not in (b"GET", b"HEAD"):
                 raise InvalidRequest(405, "method")
@@ -321,16 +316,16 @@
             self._submit()
 
     def _refuse(self, status: int, reason: str) -> None:
-        """A plain 4xx where the framing is sound; who sends nothing else is closed after the opening."""
+        """Answers a plain 4xx if the framing is valid; closes connections that never send a valid request."""
         now, limits = self._clock.now(), self._limits
         self._close_requested |= not self._served and now >= self._state_since + limits.first_request
-        # Those who send the same again at once took the core from all others.
+        # Clients that resend a rejected request at once used up the CPU.
         self._resume_at = now + limits.rejection_pause
         self._acceptor.put(RequestRejected(status, reason))
         self._respond(status, reason.encode(), ())
 
     def _submit(self) -> None:
-        """A whole request: from here on one answer is owed."""
+        """Passes a complete request to the dispatcher, which owes one answer to it."""
         now, head = self._clock.now(), self._head
         headers_given = dict(head.headers)
         scheme, time_left = (
@@ -343,7 +338,7 @@
         request.id, request.scheme = headers_given[wire.ID], self._settings.schemes.index(scheme)
         request.expiry = now + time_left - self._limits.network_allowance
         if self._stopped_at and now > self._stopped_at + self._limits.accept_after_stop:
-            # On kept connections clients go on while they may: what comes late is answered before the kill.
+            # Clients keep using open connections: late requests must be answered before the kill.
             request.expiry = min(request.expiry, self._stopped_at + self._limits.answer_after_stop)
         request.slots, request.work = wire.parse_facts(headers_given.get(wire.FACTS, b""))
         if self._log.each_txn:
@@ -353,7 +348,7 @@
         self._dispatcher.put(request)
 
     def _answer(self, message: Settle | Refuse | Fail | DuplicateId) -> None:
-        """The desk's word on what was taken, and on nothing else that came on this connection."""
+        """Sends the dispatcher's answer, if it is for the request in flight."""
         if message.request is not self._request:
             return
         self._request, self._served = None, self._served or not isinstance(message, DuplicateId)
@@ -371,9 +366,9 @@
             self._advance()
 
     def _respond(self, status: int, body: bytes, headers: tuple[tuple[bytes, bytes], ...]) -> None:
-        """Write one whole answer, and be ready for the next request."""
+        """Writes one response and prepares for the next request."""
         connection, headers_out = self._connection, list(headers)
-        # With another process serving, the client's next connection comes up there at once.
+        # If another process serves, the client can reconnect there at once.
         drain_time = 0.0 if self._other_serving else self._limits.serve_after_stop
         closing = self._stopped_at and self._clock.now() >= self._stopped_at + drain_time
         if closing or self._lingering or self._close_requested:
@@ -393,12 +388,12 @@
         if connection.next_cycle():
             self._acceptor.put(Idle(self, self._served))
         elif connection.state.trailing_data[0] or connection.has_unread():
-            self._linger()  # a reset over what lies there would overtake the answer
+            self._linger()  # a reset over unread bytes would overtake the response
         else:
             self._closed = True
 
     def _reject(self, status: int, reason: str) -> None:
-        """The framing is lost or the request cut short: answer, then read on a little and close."""
+        """Answers a request with lost framing or cut short, reads on for a moment and closes."""
         self._acceptor.put(RequestRejected(status, reason))
         self._lingering = True
         if self._connection.state.our_state in (h11.IDLE, h11.SEND_RESPONSE):
@@ -406,13 +401,9 @@
         self._linger()
 
     def _linger(self) -> None:
-        self._lingering, self._state_since, self._resume_at, self._awaiting_body_grant = (
-            True,
-            self._clock.now(),
-            0.0,
-            False,
-        )
+        self._lingering, self._awaiting_body_grant = True, False
+        self._state_since, self._resume_at = self._clock.now(), 0.0
         self._body = bytearray()
         self._acceptor.put(Lingering(self))
-        with suppress(OSError):  # it may be gone already
+        with suppress(OSError):  # the client may have disconnected
             self._connection.writer.write_eof()
--- a/sableford/net/console.py
+++ b/sableford/net/console.py
@@ -1,7 +1,6 @@
-"""The operators' door: calls on a second address, each answered at once with one line of text.
+"""The operators' console: an HTTP endpoint on a second address that answers each call with a line of text.
 
-It owns its listener and its callers. It must never wait for the desk before it answers, nor decide what
-a call changes: that is the module's.
+It answers without waiting for the dispatcher, and leaves it to the scheduler what an override changes.
 """
 
 import asyncio
@@ -29,17 +28,15 @@
 
 GET, POST = (b"GET", b"HEAD"), (b"POST",)
 HEALTH, WORKERS, FLEET, RECORD = "healthcheck", "workers", "fleet", "record"
-ACTIONS = {
-    "maint": True,
-    "ready": False,
-}  # the last word of a call on a worker: whether it is out from then on
+# Last path segment of a call on a worker: whether the worker is out of service afterwards.
+ACTIONS = {"maint": True, "ready": False}
 
 
 class Reply(NamedTuple):
     status: int
     text: str
     override: tuple[str, bool] | None = None
-    record_call: tuple[str, bool] | None = None  # a key of the record, and whether it is to be set
+    record_call: tuple[str, bool] | None = None  # key of the record, and whether to set it
 
 
 NO_PATH, NO_METHOD = Reply(404, "no such path"), Reply(405, "not by this method")
@@ -51,8 +48,9 @@
 def route(
     method: bytes, target: bytes, known: frozenset[str], leaving: bool, fleet: bytes | None = None
 ) -> Reply:
-    """What one call gets. An id stands in the path percent-encoded, or as the list gives it. `fleet` is how
-    it looks from here, none where there is none.
+    """The reply to one call. A worker id in the path may be percent-encoded or as in the list.
+
+    `fleet` is the fleet's status as JSON, None without a fleet.
 
     >>> route(b"POST", b"/workers/a%2Fb/maint", frozenset({"a/b"}), False).override
     ('a/b', True)
@@ -81,7 +79,7 @@
 
 
 class Console:
-    """Accepts callers; with too many the one that has been there longest without an answer goes."""
+    """Actor that serves operators; at the connection limit the oldest unanswered one is closed."""
 
     def __init__(
         self,
@@ -98,7 +96,7 @@
         self._listener: socket.socket | None = None
         self._known: frozenset[str] = frozenset()
         self._leaving = False
-        self._callers: dict[asyncio.Task, None] = {}  # the oldest first
+        self._callers: dict[asyncio.Task, None] = {}  # oldest first
 
     def open(self, listener: socket.socket) -> None:
         self._listener = listener
@@ -131,7 +129,7 @@
                 self._log.event("accept_failed", problem=repr(problem))
                 await asyncio.sleep(0.05)
                 continue
-            # Callers that say nothing stood where the next one had to: the oldest makes room, never the new.
+            # Silent callers must not block new ones: the oldest is closed, never the newest.
             if len(self._callers) >= self._limits.operators:
                 oldest = next(iter(self._callers))
                 del self._callers[oldest]
@@ -143,18 +141,18 @@
             task.add_done_callback(lambda done: self._callers.pop(done, None))
 
     async def _serve(self, sock: socket.socket) -> None:
-        """One caller, from its connecting to the close."""
+        """Serves one caller from accept to close."""
         connection = None
         try:
             async with asyncio.timeout(self._limits.operator_call / 1000.0):
                 connection = await admit(sock, self._limits)
                 if (call := await self._read_call(connection)) is not None:
                     await self._answer(connection, *call)
-                # Closed over bytes that lie unread, a reset would overtake the answer.
+                # Closing with unread bytes would send a reset that overtakes the answer.
                 discarded = 0
                 while (data := await connection.read_chunk()) and discarded < self._limits.max_discarded:
                     discarded += len(data)
-        except (OSError, h11.ProtocolError):  # too slow, or gone
+        except (OSError, h11.ProtocolError):  # too slow or disconnected
             pass
         except Exception as problem:
             self._log.event("caller_failed", problem=repr(problem))
@@ -165,8 +163,10 @@
                 sock.close()
 
     async def _read_call(self, connection: HttpConnection) -> tuple[Reply, bool, bytes] | None:
-        """One whole call's verdict, whether no body is wanted, and the call's; none where the caller ends
-        without one."""
+        """Reads one call; returns its reply, whether to omit the body, and the call's body.
+
+        None if the caller disconnects without a complete call.
+        """
         head, body = None, bytearray()
         try:
             while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
@@ -186,7 +186,7 @@
         return reply, head.method == b"HEAD", bytes(body)
 
     async def _access_record(self, key: str, value: bytes | None) -> Reply:
-        """A call on the record: no is sure where it says so; nothing in time may be agreed on yet."""
+        """Reads or sets a key of the record. A refusal is final; after a time-out it may yet be agreed on."""
         written = Mailbox()
         self._fleet.put(RecordRequest(key, value, written))
         answer = await written.take(self._limits.record_agreement)
@@ -206,14 +206,14 @@
             key, is_write = reply.record_call
             reply = await self._access_record(key, value if is_write else None)
         text = reply.text
-        if reply.override is not None:  # written before the yes: a kill right after it ends no ban
+        # The override is written before the call succeeds, so that a kill right after it loses nothing.
+        if reply.override is not None:
             written = Mailbox()
             self._handover.put_first(
                 OverrideRequest(OperatorOverride(*reply.override, self._clock.now()), written)
             )
-            if await written.take(self._limits.override_write) != [
-                True
-            ]:  # in force here, and the caller can know
+            # It is in force in this process already; the caller learns that it is not on disk.
+            if await written.take(self._limits.override_write) != [True]:
                 text += "; not written yet, another process or a restart does not know"
         body = text.encode() + b"\n"
         headers = [
--- a/sableford/net/discovery.py
+++ b/sableford/net/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery: one actor that watches the list of workers when the module asks it to.
+"""Discovery client: an actor that watches the list of workers when the scheduler asks for it.
 
-It owns the watch, the version it has, and the move to another address. It must never ask again by itself once
-a watch has failed, but for an address that is new, nor judge what the list says beyond its form.
+It keeps the list's revision and handles a change of address. After a failed watch it does not retry by
+itself, except at a new address. Only the form of the list is checked.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class DiscoveryError(Exception):
-    """Discovery refused, fell silent or made no sense."""
+    """Discovery refused, did not answer or sent an invalid response."""
 
 
 class DiscoveryClient:
@@ -33,10 +33,10 @@
     ) -> None:
         self.mailbox = Mailbox()
         self._address, self._limits, self._settings, self._log = address, limits, settings, log
-        self._revision = revision  # none: the whole list is asked for first
+        self._revision = revision  # None: the whole list is requested first
         self._connection: HttpConnection | None = None
-        self._reachable = False  # since it was lost, or at all
-        self._address_changed_at = -1e12  # by the loop's time
+        self._reachable = False  # answered since the start or the last failure
+        self._address_changed_at = -1e12  # in event loop time
 
     async def run(self, dispatcher: Mailbox) -> None:
         watch: asyncio.Task[None] | None = None
@@ -55,7 +55,7 @@
                             watch = asyncio.create_task(self._watch_until_failed(dispatcher))
 
     def _change_address(self, address: tuple[str, int]) -> None:
-        """Versions of one agent say nothing of another's: its first list is taken whatever its version."""
+        """Connects to another agent; revisions are not comparable, so its first list is always accepted."""
         self._disconnect()
         self._address, self._revision = address, None
         self._address_changed_at = asyncio.get_running_loop().time()
@@ -66,7 +66,7 @@
         self._connection = None
 
     async def _watch_until_failed(self, dispatcher: Mailbox) -> None:
-        """One watch to its end, which is told; just moved, it is tried anew until the address is up."""
+        """Runs one watch and reports its failure; at a new address it retries until that is up."""
         while True:
             try:
                 await self._watch(dispatcher, self._settings.config.ask_within > 0.0)
@@ -83,7 +83,7 @@
                 return
 
     async def _watch(self, dispatcher: Mailbox, once: bool) -> None:
-        """Call again at once after each answer, till that fails; or but once, for what has changed so far."""
+        """Long-polls the list until that fails, or with `once` requests the changes so far a single time."""
         while True:
             target, wait = wire.LIST, 0.0
             if self._revision is not None:
@@ -95,7 +95,7 @@
             self._reachable = True
             for reason in listing.invalid:
                 self._log.event("senseless_line", why=reason)
-            # Older news than what is known would bring back workers that left: the whole list tells.
+            # An older revision would bring back workers that left: the whole list is requested.
             if self._revision is not None and listing.revision < self._revision:
                 self._log.event("older_list", revision=listing.revision, known=self._revision)
                 self._revision = None
@@ -134,7 +134,7 @@
 
 
 def inherited_list(text: bytes, settings: SchedulerSettings, log: Log) -> WorkerListUpdate | None:
-    """The list that the process before left; none where it makes no sense or is empty."""
+    """The list left by the previous process; None if it is invalid or empty."""
     try:
         listing = wire.decode_listing(text, settings)
     except msgspec.MsgspecError as problem:
@@ -144,8 +144,11 @@
 
 
 def first_list(text: bytes, settings: SchedulerSettings, log: Log) -> tuple[WorkerListUpdate, int | None]:
-    """The list as this scheduler last had it; it may be old, so its version is kept only where each answer
-    costs a service that all share, and the whole list three times what has changed."""
+    """The list from the configuration file, and its revision if that is to be used.
+
+    The list may be old. Its revision is used only where all schedulers share one discovery service, for which
+    the whole list costs three times as much as the changes.
+    """
     try:
         listing = wire.decode_listing(text, settings)
     except msgspec.MsgspecError as problem:
--- a/sableford/net/dispatcher.py
+++ b/sableford/net/dispatcher.py
@@ -1,7 +1,7 @@
-"""The desk: the module's actor. It alone calls the module, and owns its clock, its timers and who is who.
+"""The actor that drives the scheduler: the only caller of `Scheduler`, with its clock, timers and indexes.
 
-Messages become events, effects become messages. It must never decide anything: where the module fails, all
-that is open is answered in the one way that promises nothing, and a new module starts from nothing.
+Messages become events, effects become messages; no decision is made here. If the scheduler raises, every open
+txn is reversed, which promises nothing, and a new scheduler starts with empty state.
 """
 
 import asyncio
@@ -91,16 +91,16 @@
         self.mailbox, self.console = Mailbox(), console or Mailbox()
         self._settings, self._seed, self._starts = settings, seed, 0
         self._discovery, self._clock, self._limits, self._log = discovery, clock, limits, log
-        self._peers = peers  # none: nobody to speak to
+        self._peers = peers  # none if peer messages are off
         self._workers: dict[str, Worker] = {}
         self._tasks: set[asyncio.Task] = set()
-        self._latest_list: dict[str, tuple] = {}  # the list as it stands, for a module that starts anew
+        self._latest_list: dict[str, tuple] = {}  # current worker list, for a restarted scheduler
         self._endpoints: dict[str, WorkerEndpoint] = {}
-        self._overrides: dict[str, OperatorOverride] = {}  # the last word by hand on each worker
-        self._owns_warm_up = True  # the turns at cold workers
-        self._handover: Mailbox | None = None  # the handover, where there is one
-        self._inherited: LearnedState | None = None  # of the process before, until the first list
-        self._exported_at = 0.0  # when the own was told last
+        self._overrides: dict[str, OperatorOverride] = {}  # the operators' last override per worker
+        self._owns_warm_up = True  # this process sends to warming-up workers
+        self._handover: Mailbox | None = None  # none without handover
+        self._inherited: LearnedState | None = None  # from the previous process, until the first list
+        self._exported_at = 0.0  # when the learned state was last exported
         self._message_handlers = {
             Request: self._add_request,
             ClientGone: self._client_gone,
@@ -131,11 +131,11 @@
         self._start_scheduler()
 
     def inherit(self, handover: Mailbox, inherited: LearnedState | None) -> None:
-        """Before it runs: whom to tell what was learned, and what the process before had."""
+        """Sets, before run(), where learned state goes and what the previous process had learned."""
         self._handover, self._inherited = handover, inherited
 
     def _export_learned(self) -> None:
-        """Told now and then, so that a kill costs the next process a second of it at most."""
+        """Exports the learned state every second, which bounds what a kill costs the next process."""
         self._exported_at = self._now
         listing = wire.encode_listing(self._latest_list.values(), self._endpoints, self._settings)
         self._handover.put(
@@ -145,13 +145,13 @@
         )
 
     def _start_scheduler(self) -> None:
-        """A module that knows nothing yet."""
+        """Creates a scheduler with empty state."""
         seed = crc32(b"%s:%d" % (self._seed.encode(), self._starts))
         self._starts += 1
-        # On sockets the list always has to be asked for, once or over and over.
+        # Over sockets the worker list always has to be requested, once or repeatedly.
         self._scheduler = Scheduler(self._settings.config._replace(subscribes=True), seed)
         self._index = IndexTable()
-        self._postings: dict[Request, list[str]] = {}  # the workers of its postings, by number
+        self._postings: dict[Request, list[str]] = {}  # per request, the worker of each posting
         self._ids: set[bytes] = set()
         self._wakeups: list[float] = []
 
@@ -162,7 +162,7 @@
             self._now = self._clock.now()
             for message in messages:
                 self._message_handlers[type(message)](message)
-            # One look serves all that are due.
+            # One Woken event serves all timers that are due.
             due = False
             if self._wakeups and self._now - self._wakeups[0] > self._limits.late_wakeup:
                 self._log.event("late", by=round(self._now - self._wakeups[0], 1))
@@ -182,7 +182,7 @@
                 self._trace()
 
     def _trace(self) -> None:
-        """What the module holds of each worker, beside what is out there by the desk's own count."""
+        """Logs the scheduler's estimate of each worker and the dispatcher's own count of open postings."""
         out = Counter(name for workers in self._postings.values() for name in workers)
         for index, worker in self._scheduler.workers.items():
             name = self._index.worker_ids[index]
@@ -218,29 +218,29 @@
         except Exception as problem:
             self._log.event("module_failed", problem=repr(problem), happened=repr(event))
             self._reverse_all()
-            if isinstance(event, Roster):  # a new one would fail on the same list
+            if isinstance(event, Roster):  # a new scheduler would fail on the same list
                 raise
             self._start_scheduler()
             self._now = self._clock.now()
             self._handle_event(TurnsChanged(self._owns_warm_up))
-            for override in self._overrides.values():  # before the list, lest a worker that is out seem ready
+            for override in self._overrides.values():  # before the list, lest an excluded worker seem ready
                 self._handle_event(
                     WorkerOverride(self._index.worker_index(override.worker), override.out, override.at)
                 )
             self._handle_event(self._index.roster_update(WorkerList(list(self._latest_list.values())), True))
 
     def _reverse_all(self) -> None:
-        """As after a kill, but that what was taken is answered: reversed, which promises nothing."""
+        """Cancels all postings and answers every open txn as reversed, which promises nothing."""
         for request, workers in self._postings.items():
             for number, worker in enumerate(workers):
                 self._workers[worker].mailbox.put(CancelPosting(request, number))
             request.client.put(Fail(request))
 
-    # What comes in
+    # Incoming messages
 
     def _add_request(self, request: Request) -> None:
         if request.id in self._ids:
-            # Two postings of one id are a second copy to a worker, whatever connection each came on.
+            # A second request with the same id would run twice, whichever connection it came on.
             request.client.put(DuplicateId(request))
             return
         self._ids.add(request.id)
@@ -285,7 +285,7 @@
             self._handle_event(Probed(worker, message.answered, message.load))
 
     def _peer_update(self, message: PeerPayload) -> None:
-        # Switched off, what others still say is passed over.
+        # Peer messages that still arrive after they were switched off are ignored.
         if (
             self._settings.config.notify_peers
             and (label := self._index.decode_load(message.payload)) is not None
@@ -293,7 +293,7 @@
             self._handle_event(PeerUpdate(message.peer, *label))
 
     def _update_workers(self, message: WorkerListUpdate) -> None:
-        """The list goes to the module first, so that a drain is known before the next posting."""
+        """Applies a worker list update at once, so that a drain is known before the next posting."""
         worker_list = message.worker_list
         known = dict(self._latest_list)
         if message.complete:
@@ -330,10 +330,10 @@
             self._inherited = None
 
     def _update_endpoint(self, worker: str, endpoint: WorkerEndpoint) -> None:
-        """Where the worker listens, by the list, and whether it may be sent anything, by list and by hand."""
+        """Sends the worker's actor its address, and whether list and operators allow new postings."""
         entry, override = self._latest_list.get(worker), self._overrides.get(worker)
         ready = entry is not None and Standing(entry[4]) is Standing.READY and not (override and override.out)
-        # Its process was started anew: a kept line leads to one that is no more.
+        # Put back in service, the worker was restarted: idle connections lead to its former process.
         since = (
             max(endpoint.started_at, override.at / 1000.0)
             if override and not override.out
@@ -371,7 +371,7 @@
         self._assign_quotas()
 
     def _report_stale(self, message: StaleConnection) -> None:
-        """What drops resting lines at one worker mostly does so at all: a setting, a machine between."""
+        """Tells all workers: a setting or middlebox that drops idle connections usually affects all."""
         self._log.event("stale_line", rested=round(message.idle_ms))
         for worker in self._workers.values():
             worker.mailbox.put(message)
@@ -386,7 +386,7 @@
         return worker
 
     def _actor_done(self, task: asyncio.Task) -> None:
-        """No actor dies unseen."""
+        """Reports the failure of a worker's actor to the dispatcher."""
         self._tasks.discard(task)
         if not task.cancelled() and (problem := task.exception()) is not None:
             self.mailbox.put(_ActorFailed(task.get_name(), problem))
@@ -395,7 +395,7 @@
         self._reverse_all()
         raise RuntimeError(f"{message.name} failed") from message.problem
 
-    # What goes out
+    # Effects
 
     def _post(self, effect: Post) -> None:
         request = self._index.txn_ids[effect.txn]
@@ -428,7 +428,7 @@
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        """Over and nothing out: its id may come again."""
+        """Frees the id of a txn that is answered and has no open postings."""
         if self._index.find_txn(request) is None and request in self._postings:
             del self._postings[request]
             self._ids.discard(request.id)
@@ -445,7 +445,7 @@
 
 
 class _ActorFailed(NamedTuple):
-    """An actor that the desk started has failed."""
+    """A worker's actor failed."""
 
     name: str
     problem: BaseException
--- a/sableford/net/handover.py
+++ b/sableford/net/handover.py
@@ -1,7 +1,7 @@
-"""What the old and the new process of one scheduler owe each other, by files in a folder of their own.
+"""Handover between the old and the new process of one scheduler, through files in a shared directory.
 
-It owns the own word there and the calls by hand as they hold over all processes. It must never take what
-another process wrote for more than a claim, let a bad file stop a start, nor wait for a disk once it serves.
+It publishes this process's state and merges operator overrides across processes. Files of other processes are
+validated, an invalid one never prevents a start, and nothing waits for the disk once the process serves.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class _Polled(NamedTuple):
-    """To itself, from the hand: a look that was asked for at that time is done."""
+    """Internal: the poll requested at `requested_at` is done."""
 
     requested_at: float
     others: list[OtherProcess]
@@ -39,14 +39,14 @@
 
 
 class _Written(NamedTuple):
-    """The same of a write of the own word."""
+    """Internal: the write of this process's state requested at `requested_at` is done."""
 
     requested_at: float
     problem: str
 
 
 class Handover:
-    """One process's side. Without a folder it stands alone, and says so once."""
+    """Actor of one process. Without a usable directory it works alone, and logs that once."""
 
     def __init__(self, name: str, group_address: str | None, clock: Clock, limits: Limits, log: Log) -> None:
         self.mailbox = Mailbox()
@@ -57,16 +57,12 @@
         self._token = f"{self._started_at:.0f}-{os.urandom(4).hex()}"
         self._overrides: dict[str, OperatorOverride] = {}
         self._others: list[OtherProcess] = []
-        self._stage, self._owns_warm_up, self._other_serving, self._processes = (
-            Stage.STARTING,
-            False,
-            False,
-            1,
-        )
+        self._stage, self._processes = Stage.STARTING, 1
+        self._owns_warm_up = self._other_serving = False
         self._snapshot: HandoverSnapshot | None = None
-        self._next_poll_at = 0.0  # none under way: when the next is due
+        self._next_poll_at = 0.0  # due time of the next poll, if none is running
         self._polling = self._write_failed = self._slow = False
-        self._stopping_since: float | None = None  # asked to leave then, and the gate not told yet
+        self._stopping_since: float | None = None  # shutdown requested, acceptor not informed yet
         if group_address is not None:
             try:
                 directory_name = f"sableford-{crc32(f'{name} {group_address}'.encode()):08x}"
@@ -75,8 +71,11 @@
                 log.event("handover_off", problem=repr(problem))
 
     def start(self) -> tuple[list[OperatorOverride], int, HandoverSnapshot | None]:
-        """Before anything is served: the calls in force, how many processes share, what another knows. The
-        one place that waits for the disk: to serve before another's calls are read would break them."""
+        """Returns the overrides in force, the number of processes, and another process's state.
+
+        Called before anything is served, and the only place that waits for the disk: serving before the
+        overrides of another process are read would break them.
+        """
         dead_states: list[ProcessState] = []
         if self._directory is not None:
             self._others, dead_states = self._directory.poll(self._limits.heartbeat)
@@ -87,7 +86,7 @@
         for state in states:
             for override in handover_state.newer_overrides(self._overrides, state, now):
                 self._overrides[override.worker] = override
-        # Alone it waits for nobody; what the dead one took is from before.
+        # A process that is alone owns the warm-up at once, whatever a dead process claimed.
         self._owns_warm_up, self._processes = not self._others, 1 + len(self._others)
         newest = max(states, key=lambda state: state.started_at, default=None)
         self._snapshot = (
@@ -127,24 +126,24 @@
                     case _Written(requested_at, problem):
                         self._report_disk(requested_at, problem)
             now = self._clock.now()
-            # A disk that does not answer tells nothing of another process; what was seen last counts.
+            # If the disk does not answer, the last poll's result is used.
             if self._stopping_since is not None and now >= self._stopping_since + self._limits.shutdown_poll:
                 self._stop_acceptor(acceptor)
             if not self._polling and now >= self._next_poll_at:
                 self._poll()
 
     def _next_timeout(self) -> float | None:
-        """Until there is something to do without a message."""
+        """Time until the next action that needs no message."""
         due = [] if self._directory is None or self._polling else [self._next_poll_at]
         if self._stopping_since is not None:
             due.append(self._stopping_since + self._limits.shutdown_poll)
         return max(0.0, min(due) - self._clock.now()) if due else None
 
-    # The disk, by the hand alone
+    # Disk access, in a thread
 
     def _poll(self) -> None:
         if self._directory is None:
-            if self._stopping_since is not None:  # alone
+            if self._stopping_since is not None:  # no other process
                 self.mailbox.put(_Polled(self._stopping_since, [], []))
             return
         self._polling, requested_at = True, self._clock.now()
@@ -159,7 +158,7 @@
         future.add_done_callback(polled)
 
     def _write(self, reply: Mailbox | None = None) -> None:
-        """The own word as it now stands. Words asked for while one is under way go out as one."""
+        """Writes this process's current state. Writes requested while one is running are combined."""
         if self._directory is None:
             if reply is not None:
                 reply.put(True)
@@ -183,7 +182,7 @@
         future.add_done_callback(written)
 
     def _report_disk(self, requested_at: float, problem: str) -> None:
-        """Said once as it begins and once as it ends, not with each of a second's words."""
+        """Logs when writes begin to fail or to be slow, and when that ends."""
         if bool(problem) != self._write_failed:
             self._write_failed = bool(problem)
             self._log.event("handover_failed" if problem else "handover_written", problem=problem)
@@ -192,14 +191,14 @@
             self._slow = not self._slow
             self._log.event("handover_slow", slow=self._slow, took=round(took))
 
-    # What follows
+    # Reactions
 
     def _stop_acceptor(self, acceptor: Mailbox) -> None:
         self._stopping_since = None
         acceptor.put(Shutdown(other_serving=self._other_serving))
 
     def _apply_request(self, message: OverrideRequest, dispatcher: Mailbox) -> None:
-        """In force here at once; the caller hears when it is written too."""
+        """Applies an override at once; the caller is informed once it is written."""
         if (override := handover_state.override_change(self._overrides, message.override)) is None:
             message.reply.put(True)
             return
@@ -216,7 +215,7 @@
         acceptor: Mailbox,
         config_reloader: Mailbox,
     ) -> None:
-        """What follows from what was seen of the others."""
+        """Applies what was read from the other processes."""
         now, before = self._clock.now(), len(self._others)
         self._others = others
         self._next_poll_at = now + (self._limits.poll_with_others if others else self._limits.poll_alone)
@@ -241,14 +240,17 @@
         )
         if owns_warm_up != self._owns_warm_up:
             self._owns_warm_up = owns_warm_up
-            # Given up before it is written, taken after all others were seen without it.
+            # Ownership is given up before that is written, and taken after no other process claims it.
             dispatcher.put_first(WarmUpOwnership(owns_warm_up))
             self._log.event("cold_turns", ours=owns_warm_up)
             self._write()
 
     async def close(self) -> None:
-        """At a clean end the last word goes out and stays: who lives reads it once the lock is let go, then
-        removes it. Removed here, a call by hand of the last moments went with it."""
+        """Waits for the last state to be written at a clean end.
+
+        The file stays: a live process reads it once the lock is released, then removes it. Removing it here
+        lost overrides made in the last moments.
+        """
         if self._directory is not None:
             await asyncio.wait(
                 [self._file_calls.submit("close", lambda: None)], timeout=self._limits.shutdown_poll / 1000.0
--- a/sableford/net/handover_state.py
+++ b/sableford/net/handover_state.py
@@ -1,7 +1,7 @@
-"""What two processes of one scheduler say to each other, and what follows for each.
+"""The state that processes of one scheduler publish to each other, and the rules for using it.
 
-It owns the form of a word, the merging of calls by hand, and who takes the turns at cold workers. It must
-never touch a file or a clock.
+These are the file format, the merging of operator overrides, and which process sends to warming-up workers.
+Pure functions: no files and no clock.
 """
 
 from collections.abc import Iterable
@@ -13,12 +13,11 @@
 from sableford.learned_state import LearnedState
 from sableford.net.messages import OperatorOverride
 
-FORMAT = 1  # of a word; another one's is not read
-MAX_STATE_BYTES = 4_194_304  # bytes: the longest list
-MAX_CLOCK_AHEAD_MS = (
-    60_000.0  # ms a call's time may lie ahead of the reader's clock; one further ahead would hold for ever
-)
-REMEMBER_MS = 3_600_000.0  # ms a call back is remembered: no word from before it is still about by then
+FORMAT = 1  # a state of another format is ignored
+MAX_STATE_BYTES = 4_194_304  # limited by the longest worker list
+# An override dated further ahead of the reader's clock is ignored: it would hold for ever.
+MAX_CLOCK_AHEAD_MS = 60_000.0
+REMEMBER_MS = 3_600_000.0  # a return to service is kept this long; no older state is in use by then
 
 Stage = IntEnum("Stage", "STARTING SERVING LEAVING")
 
@@ -32,19 +31,19 @@
         "learned": "legacy",
     },
 ):
-    """What one process says of itself."""
+    """What a process publishes of itself. The encoded names are shared with other versions."""
 
     format: int
     started_at: float
     stage: int
-    owns_warm_up: bool  # the turns at cold workers
+    owns_warm_up: bool  # whether this process sends to warming-up workers
     overrides: dict[str, tuple[bool, float]] = {}
     listing: msgspec.Raw = msgspec.Raw(b"null")
     learned: LearnedState = msgspec.field(default_factory=LearnedState)
 
 
 class OtherProcess(NamedTuple):
-    """Another process that lives; without a word only that is known."""
+    """Another live process; `state` is None if it has not published a valid one."""
 
     token: str
     state: ProcessState | None
@@ -54,7 +53,7 @@
 
 
 def decode_state(text: bytes) -> ProcessState | None:
-    """None for what is torn, too large, of another format or senseless.
+    """None for a state that is truncated, too large, of another format or invalid.
 
     >>> decode_state(b'{"format":1,"born":5,"stage":2,"holds":false}').stage, decode_state(b'{"format":1,"bo')
     (2, None)
@@ -70,7 +69,10 @@
 def override_change(
     overrides: dict[str, OperatorOverride], override: OperatorOverride
 ) -> OperatorOverride | None:
-    """What a call changes: two calls out need one back, and back without out changes nothing.
+    """The override that a call adds, or None if it changes nothing.
+
+    Two calls that take a worker out need one to put it back, and putting back a worker in service changes
+    nothing. The time always increases, even if the clock was set back.
 
     >>> taken_out = OperatorOverride("a", True, 5.0)
     >>> override_change({}, OperatorOverride("a", False, 5.0))
@@ -87,7 +89,7 @@
 def newer_overrides(
     overrides: dict[str, OperatorOverride], state: ProcessState, now: float
 ) -> list[OperatorOverride]:
-    """The rules of another's word that are later than the own ones; of two at one time the worker is out.
+    """The overrides of another process that are newer than the own ones; at equal times the worker is out.
 
     >>> theirs = ProcessState(1, 0.0, 2, False, {"a": (False, 6.0), "b": (True, 1.0)})
     >>> own = {"a": OperatorOverride("a", True, 5.0)}
@@ -107,7 +109,7 @@
 
 
 def overrides_to_write(overrides: dict[str, OperatorOverride], now: float) -> dict[str, tuple[bool, float]]:
-    """What is written of them: all that are out, and calls back that another may not have heard of."""
+    """The overrides to publish: workers out of service, and returns that others may not know yet."""
     return {
         override.worker: (override.out, override.at)
         for override in overrides.values()
@@ -116,12 +118,12 @@
 
 
 def other_serves(others: Iterable[OtherProcess]) -> bool:
-    """Whether another one serves."""
+    """Whether another process serves."""
     return any(other.state is not None and other.state.stage == Stage.SERVING for other in others)
 
 
 def owns_warm_up(stage: int, started_at: float, token: str, held: bool, others: list[OtherProcess]) -> bool:
-    """Whether the turns at cold workers are this process's own from now on; never two processes' at once.
+    """Whether this process sends to warming-up workers from now on; never two processes at once.
 
     >>> old = OtherProcess("5-1", ProcessState(1, 5.0, 2, True))
     >>> new = OtherProcess("9-1", ProcessState(1, 9.0, 2, False))
--- a/sableford/net/http.py
+++ b/sableford/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 by h11 over a pair of asyncio streams, for either side of a connection.
+"""HTTP/1.1 connections with h11 over asyncio streams, for clients and servers.
 
-It owns the framing and the knowledge of what has reached the kernel. It must never send anything a second
-time, open a connection on its own, or know what a message is about.
+Handles the framing and tells whether written bytes reached the kernel. Nothing is ever sent twice, and no
+connection is opened implicitly.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class Reader(asyncio.StreamReader):
-    """A stream that tells how many bytes lie in it: they have left the kernel, and nobody has read them."""
+    """A stream reader that counts its buffered bytes, which left the kernel but were not read yet."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(limit=limit, loop=asyncio.get_running_loop())
@@ -32,34 +32,34 @@
 
 
 class HttpConnection:
-    """One connection."""
+    """One HTTP/1.1 connection."""
 
     def __init__(self, reader: Reader, writer: asyncio.StreamWriter, role: type, limits: Limits) -> None:
         self.reader, self.writer = reader, writer
         self.state = h11.Connection(role, max_incomplete_event_size=limits.max_head)
         self._chunk = limits.read_size
         self.uses, self._idle_since = 0, 0.0
-        # Zero: drain() then waits until the kernel has the last byte.
+        # With zero, drain() waits until the kernel has the last byte.
         writer.transport.set_write_buffer_limits(high=0)
 
     def mark_idle(self) -> None:
-        """One exchange on it is over."""
+        """Records that an exchange on this connection has ended."""
         self.uses += 1
         self._idle_since = asyncio.get_running_loop().time()
 
     def idle_ms(self) -> float:
-        """How long nothing has gone over it, in ms; 0 for one that is new."""
+        """Time since the last exchange in ms; 0 for a new connection."""
         return (asyncio.get_running_loop().time() - self._idle_since) * 1000.0 if self.uses else 0.0
 
     async def read_chunk(self) -> bytes:
-        """Bytes as they come, none at the end; a broken connection ends too."""
+        """The next bytes; empty at the end of the stream or if the connection broke."""
         try:
             return await self.reader.read(self._chunk)
         except OSError:
             return b""
 
     async def next_event(self) -> object:
-        """The next event; RemoteProtocolError where the other side breaks off or talks nonsense."""
+        """The next event; RemoteProtocolError if the peer disconnects or violates the protocol."""
         while (event := self.state.next_event()) is h11.NEED_DATA:
             self.state.receive_data(await self.read_chunk())
         return event
@@ -68,10 +68,10 @@
         self.writer.write(b"".join(self.state.send(event) or b"" for event in events))
 
     async def flushed(self) -> bool:
-        """Whether the last byte has left for the kernel; False only if it provably has not.
+        """Whether the last byte reached the kernel; False only if it provably did not.
 
-        Called right after write, with nothing awaited between: a send that failed has closed the transport,
-        one that the kernel took in part has left the rest in the buffer.
+        Must be called right after write() without an await in between: a failed send has then closed the
+        transport, and a partial one has left the rest in the buffer.
         """
         transport = self.writer.transport
         if not transport.get_write_buffer_size():
@@ -83,9 +83,10 @@
         return True
 
     def usable(self) -> bool:
-        """Whether a kept connection is up and silent: an end that lies unread in the kernel shows too.
+        """Whether an idle connection is open and has no unread bytes or end of stream, also in the kernel.
 
-        What came unasked since the last answer, behind it or later, would be read as the next one."""
+        Unsolicited bytes after the last response would be read as the next response.
+        """
         transport = self.writer.transport
         if self.reader.buffered or self.state.trailing_data[0]:
             return False
@@ -94,7 +95,7 @@
         return not self.has_unread()
 
     def has_unread(self) -> bool:
-        """Whether bytes, or the end, lie in the kernel."""
+        """Whether bytes or the end of the stream are unread in the kernel."""
         sock = self.writer.transport.get_extra_info("socket")
         if sock is None or sock.fileno() < 0:
             return True
@@ -103,14 +104,14 @@
         return bool(poll.poll(0))
 
     def next_cycle(self) -> bool:
-        """Ready for another request on this connection; False where it has to be closed."""
+        """Prepares for another request; False if the connection has to be closed."""
         if self.state.our_state is not h11.DONE or self.state.their_state is not h11.DONE:
             return False
         self.state.start_next_cycle()
         return True
 
     def close(self) -> None:
-        """What is written still goes out."""
+        """Closes the connection after sending what is written."""
         self.writer.close()
 
     def abort(self) -> None:
@@ -118,22 +119,22 @@
 
 
 async def dial(address: tuple[str, int], limits: Limits) -> HttpConnection:
-    """A new connection to a worker or to discovery."""
+    """Opens a connection to a worker or to discovery."""
     reader, writer = await open_streams(limits, host=address[0], port=address[1])
     sock = writer.transport.get_extra_info("socket")
-    # A whole request fits the kernel's buffer, so that it leaves in one go.
+    # Large enough for a whole request, so that the kernel takes it in one call.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * (limits.max_body + limits.max_head))
     return HttpConnection(reader, writer, h11.CLIENT, limits)
 
 
 async def admit(sock: socket.socket, limits: Limits) -> HttpConnection:
-    """An accepted connection."""
+    """Wraps an accepted connection."""
     reader, writer = await open_streams(limits, sock=sock)
     return HttpConnection(reader, writer, h11.SERVER, limits)
 
 
 async def open_streams(limits: Limits, **to: Any) -> tuple[Reader, asyncio.StreamWriter]:
-    """As asyncio.open_connection, with a reader of our own."""
+    """Like asyncio.open_connection, but with a Reader."""
     loop = asyncio.get_running_loop()
     reader = Reader(limits.read_size)
     protocol = asyncio.StreamReaderProtocol(reader, loop=loop)
--- a/sableford/net/log.py
+++ b/sableford/net/log.py
@@ -1,6 +1,6 @@
-"""The log: one JSON line an event on standard output, by orjson.
+"""Event log: one JSON object per line on standard output.
 
-It owns the form of a line. It must never be called for each txn unless that was asked for at start.
+Events of single transactions are logged only with --each-txn.
 """
 
 import sys
@@ -21,7 +21,7 @@
 
     def event(self, event: str, **facts: object) -> None:
         line = {"at": round(time.time(), 3), "node": self._name, "event": event, **facts}
-        with suppress(OSError):  # nobody reads the log: no reason to stop serving
+        with suppress(OSError):  # a closed log must not stop the service
             self._sink.write(orjson.dumps(line, default=_plain, option=orjson.OPT_APPEND_NEWLINE))
             self._sink.flush()
 
--- a/sableford/net/messages.py
+++ b/sableford/net/messages.py
@@ -1,6 +1,6 @@
-"""Mailboxes, the clock, and every message that actors send one another.
+"""Mailboxes, the clock, and the messages that actors send to each other.
 
-It owns how actors meet; they share nothing else. It must never know a word of any wire.
+Actors share no other state. Nothing here depends on a wire format.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 class Clock:
-    """Unix time in milliseconds that only moves forward, and the loop's time for it."""
+    """Monotonic Unix time in milliseconds, and its conversion to event loop time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self._base = loop, time.time() * 1000.0 - loop.time() * 1000.0
@@ -29,38 +29,38 @@
 
 
 class Mailbox:
-    """Messages to one actor, which takes all that wait at once: a burst costs one switch."""
+    """Queue of messages to one actor, which takes all that wait at once: a burst costs one task switch."""
 
     def __init__(self) -> None:
         self._waiting: deque[Any] = deque()
-        self._bell: asyncio.Future[None] | None = None
+        self._wakeup: asyncio.Future[None] | None = None
 
     def put(self, message: object) -> None:
         self._waiting.append(message)
-        self._ring()
+        self._wake()
 
     def put_first(self, message: object) -> None:
-        """Before all that waits: for what can't wait for its turn behind txns."""
+        """Puts a message ahead of all waiting ones, for messages that must not queue behind transactions."""
         self._waiting.appendleft(message)
-        self._ring()
+        self._wake()
 
     def empty(self) -> bool:
         return not self._waiting
 
-    def _ring(self) -> None:
-        if self._bell is not None and not self._bell.done():
-            self._bell.set_result(None)
+    def _wake(self) -> None:
+        if self._wakeup is not None and not self._wakeup.done():
+            self._wakeup.set_result(None)
 
     async def take(self, within: float | None = None) -> list[Any]:
-        """All that waits; empty where nothing came within so many ms."""
+        """Returns all waiting messages, or an empty list if none arrives within `within` ms."""
         if not self._waiting:
             loop = asyncio.get_running_loop()
-            self._bell = loop.create_future()
-            timer = None if within is None else loop.call_later(max(0.0, within) / 1000.0, self._ring)
+            self._wakeup = loop.create_future()
+            timer = None if within is None else loop.call_later(max(0.0, within) / 1000.0, self._wake)
             try:
-                await self._bell
+                await self._wakeup
             finally:
-                self._bell = None
+                self._wakeup = None
                 if timer is not None:
                     timer.cancel()
         taken = list(self._waiting)
@@ -69,7 +69,7 @@
 
 
 class Request:
-    """One txn as it came. What goes on unchanged is bytes; the rest is what decisions need."""
+    """A txn as received: bytes for what is forwarded unchanged, parsed values for what decisions need."""
 
     __slots__ = (
         "body",
@@ -93,11 +93,11 @@
         self.slots, self.work = 1.0, 0.0
 
 
-# To the desk: a Request, and
+# To the dispatcher (which also receives Request)
 
 
 class ClientGone(NamedTuple):
-    """The client has closed its connection."""
+    """The client closed its connection."""
 
     request: Request
 
@@ -114,7 +114,7 @@
 
 
 class PostingEnded(NamedTuple):
-    """A posting is over; `result` is the body for the client where it was settled."""
+    """A posting has ended; `result` is the response body if it was settled."""
 
     request: Request
     posting: int
@@ -124,13 +124,13 @@
 
 
 class StaleConnection(NamedTuple):
-    """A line that had rested so many ms was dead as it was taken up. To the workers too, from the desk."""
+    """A connection idle for `idle_ms` proved dead when reused. The dispatcher tells all workers."""
 
     idle_ms: float
 
 
 class ProbeResult(NamedTuple):
-    """A probe is back."""
+    """Result of a probe."""
 
     worker: str
     answered: bool
@@ -138,7 +138,7 @@
 
 
 class WorkerListUpdate(NamedTuple):
-    """Lines of the list, all of them where `complete`, and where each worker listens."""
+    """Entries of the worker list (all of them if `complete`) and the workers' addresses."""
 
     worker_list: WorkerList
     complete: bool
@@ -146,7 +146,7 @@
 
 
 class OperatorOverride(NamedTuple):
-    """An operator took a worker out at that time, or called it back. From the console."""
+    """An operator took a worker out of service at time `at`, or put it back. From the console."""
 
     worker: str
     out: bool
@@ -154,36 +154,36 @@
 
 
 class WarmUpOwnership(NamedTuple):
-    """Whether the turns at cold workers are this process's. From the handover."""
+    """Whether this process is the one that sends to warming-up workers. From the handover."""
 
     owned: bool
 
 
 class DiscoveryLost(NamedTuple):
-    """The watch failed, or discovery fell silent."""
+    """The watch failed, or discovery stopped answering."""
 
 
-# From a reload, to the desk, the gate, the roster and the workers
+# From a reload, to the dispatcher, the acceptor, the discovery client and the workers
 
 
 class ConfigReloaded(NamedTuple):
-    """The file was read again: the limits from now on, where discovery is, and the settings."""
+    """The configuration file was read again; these values apply from now on."""
 
     limits: Limits
     discovery: tuple[str, int]
     settings: SchedulerSettings
-    peers: tuple[tuple[str, int], ...] = ()  # the schedulers by position, where they may be spoken to
+    peers: tuple[tuple[str, int], ...] = ()  # all schedulers by position; empty if peer messages are off
 
 
 class SendToPeers(NamedTuple):
-    """To the peers: some words for some schedulers."""
+    """To the peer transport: a payload for the schedulers at these positions."""
 
     peers: tuple[int, ...]
     payload: bytes
 
 
 class PeerPayload(NamedTuple):
-    """To the desk: what another scheduler said."""
+    """To the dispatcher: a payload received from another scheduler."""
 
     peer: int
     payload: bytes
@@ -193,24 +193,24 @@
 
 
 class OverrideRequest(NamedTuple):
-    """A call by hand; `reply` hears whether it was written, as soon as that is known."""
+    """An operator's override; `reply` receives whether it was written to disk."""
 
     override: OperatorOverride
     reply: Mailbox
 
 
 class HandoverSnapshot(NamedTuple):
-    """What the desk knows, for the next process: the list in its words, and what the module learned."""
+    """State for the next process: the worker list in discovery's format, and the learned statistics."""
 
     listing: bytes
     learned: LearnedState
 
 
-# To the keeper
+# To the configuration reloader
 
 
 class ProcessCount(NamedTuple):
-    """So many processes of this scheduler live, and divide what is granted."""
+    """Number of live processes of this scheduler, which divide its resources."""
 
     processes: int
 
@@ -219,8 +219,10 @@
 
 
 class RecordRequest(NamedTuple):
-    """A key of the record to be set to `value`, or read where there is none; `reply` gets (held, entry,
-    value or why not)."""
+    """Sets a key of the replicated record to `value`, or reads it if `value` is None.
+
+    `reply` receives (accepted, entry, value or reason).
+    """
 
     key: str
     value: bytes | None
@@ -231,13 +233,13 @@
 
 
 class FleetStatus(NamedTuple):
-    """How the fleet looks from here, as JSON."""
+    """This scheduler's view of the fleet, as JSON."""
 
     json: bytes
 
 
 class KnownWorkers(NamedTuple):
-    """Every worker that has been listed or is out by hand."""
+    """Every worker that was ever listed or has an operator override."""
 
     workers: frozenset[str]
 
@@ -251,54 +253,53 @@
 
 
 class Refuse(NamedTuple):
-    """Declined: trying again is harmless, best after so many ms where above 0."""
+    """Declined: a retry is harmless, preferably after `pause` ms if that is above 0."""
 
     request: Request
     pause: float
 
 
 class Fail(NamedTuple):
-    """Reversed."""
+    """The transaction is reversed."""
 
     request: Request
 
 
 class DuplicateId(NamedTuple):
-    """A txn with this id is under way."""
+    """A transaction with this id is already in flight."""
 
     request: Request
 
 
 class Shutdown(NamedTuple):
-    """The scheduler was asked to end at that time, with another process of it serving `beside` or not. To the
-    gate: end."""
+    """The scheduler was asked to stop at `requested_at`; `other_serving` if another process of it serves."""
 
     requested_at: float = 0.0
     other_serving: bool = False
 
 
 class OtherProcessServing(NamedTuple):
-    """To the gate: whether another process of this scheduler serves."""
+    """To the acceptor: whether another process of this scheduler serves."""
 
     serves: bool
 
 
 class SettingsChanged(NamedTuple):
-    """Other settings: for the next request."""
+    """New settings, used from the next request on."""
 
     settings: SchedulerSettings
 
 
 class CloseIfIdle(NamedTuple):
-    """Close if idle."""
+    """Close the connection if it is idle."""
 
 
 class CloseIfIncomplete(NamedTuple):
-    """Others wait: close if a request has begun to come and is not whole, or the last answer was given."""
+    """The client limit is reached: close if a request is incomplete or the last response was sent."""
 
 
 class BodyGrant(NamedTuple):
-    """Whether a body may come as large as was asked for."""
+    """Reply to BodyReservation."""
 
     granted: bool
 
@@ -318,12 +319,14 @@
 
 
 class SendProbe(NamedTuple):
-    """Probe."""
+    """Probe the worker."""
 
 
 class WorkerEndpoint(NamedTuple):
-    """Where the worker listens, its last start (with another one its old connections are void), whether it
-    wants anything new."""
+    """A worker's address, its last start, and whether it accepts new postings.
+
+    Connections made before another start are void.
+    """
 
     address: tuple[str, int]
     started_at: float
@@ -334,6 +337,6 @@
 
 
 class ConnectionQuota(NamedTuple):
-    """How many connections it may have."""
+    """Number of connections that a worker's actor may open."""
 
     connections: int
--- a/sableford/net/peer_transport.py
+++ b/sableford/net/peer_transport.py
@@ -1,7 +1,7 @@
-"""The other schedulers: short messages to and from them, over UDP.
+"""Short UDP messages to and from the other schedulers.
 
-It owns the socket and who may be heard: the addresses of the configuration, by position. A message may be
-lost, come late or twice; it must never be waited for, and nothing that is owed may hang on one.
+Only messages from the addresses in the configuration are accepted. Messages may be lost, late or duplicated:
+nothing waits for one, and correctness does not depend on them.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    """What comes from a listed address goes to the desk; all else is passed over."""
+    """Passes datagrams from listed addresses to the dispatcher and drops all others."""
 
     def __init__(self, addresses: tuple[Address, ...], max_size: int, dispatcher: Mailbox) -> None:
         self._peers = {address: position for position, address in enumerate(addresses)}
@@ -37,7 +37,7 @@
         while True:
             if self._addresses and self._transport is None:
                 await self._open(dispatcher)
-            # Another process of this scheduler may hold the address until it ends: tried again and again.
+            # Another process of this scheduler may hold the address until it ends: retried until then.
             within = self._limits.retry if self._addresses and self._transport is None else None
             for message in await self.mailbox.take(within):
                 if isinstance(message, SendToPeers):
--- a/sableford/net/startup_config.py
+++ b/sableford/net/startup_config.py
@@ -1,7 +1,7 @@
-"""What a scheduler is told at start: its name and addresses, its limits, the first list, the settings.
+"""The scheduler's configuration file: name, addresses, limits, first worker list and settings.
 
-It owns reading that file, at start and again when asked, and saying in one line what is wrong with it. It
-must never guess a missing field, nor put half of a file into force.
+The file is read at start and on reload. A missing field is an error, reported in one line, and a file is
+applied as a whole or not at all.
 """
 
 import asyncio
@@ -26,21 +26,20 @@
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    console: tuple[str, int] | None  # the operators' door, if any
+    console: tuple[str, int] | None  # address for operators, if any
     seed: str
     known: bytes
     settings: SchedulerSettings
     limits: Limits
-    resources: tuple[int, float]  # sockets and memory, of all processes of this scheduler together
-    file_addresses: tuple[
-        tuple[str, int] | None, ...
-    ]  # where to listen, discovery and the console by the file alone
-    keys: frozenset[str]  # every key of the file, by its path
-    peers: tuple[tuple[str, int], ...] = ()  # all schedulers by position; none where they may not speak
-    fleet: Seat | None = None  # in the fleet; none where that is not switched on
+    resources: tuple[int, float]  # sockets and memory of all processes of this scheduler
+    # Addresses to listen on, of discovery and of the console as in the file, without environment variables.
+    file_addresses: tuple[tuple[str, int] | None, ...]
+    keys: frozenset[str]  # path of every key in the file
+    peers: tuple[tuple[str, int], ...] = ()  # all schedulers by position; empty if peer messages are off
+    fleet: Seat | None = None  # place in the fleet; None if switched off
 
     def limits_per_process(self, processes: int) -> Limits:
-        """What one process has of what is granted to all of them."""
+        """The limits of one of `processes` processes that divide the resources."""
         sockets, memory = (size / processes for size in self.resources)
         idle, connect = self.settings.idle_timeout, self.settings.connect_timeout
         return divide_resources(int(sockets), memory, idle, connect, self.console is not None)
@@ -65,31 +64,27 @@
 
 
 class ReloadConfig(NamedTuple):
-    """To the keeper: read the file again."""
+    """To ConfigReloader: read the file again."""
 
 
 class _ConfigLoaded(NamedTuple):
-    """To itself: what the file holds now, or what is wrong with it."""
+    """Internal: the file's content, or why it is invalid."""
 
     outcome: StartupConfig | ValueError
 
 
 class ConfigReloader:
-    """The file's actor: reads it again when asked, and tells the others what is new in it."""
+    """Actor that reads the file again on request and sends the changes to the other actors."""
 
     def __init__(
         self, path: str, log: Log, processes: int = 1, talk: bool = False, fleet: bool = False
     ) -> None:
-        self.mailbox, self._talk, self._fleet, self._file_calls = (
-            Mailbox(),
-            talk,
-            fleet,
-            SerialExecutor("file"),
-        )
+        self.mailbox, self._file_calls = Mailbox(), SerialExecutor("file")
+        self._talk, self._fleet = talk, fleet
         self._path, self._log, self._processes = path, log, processes
 
     async def run(self, config: StartupConfig, others: tuple[Mailbox, ...]) -> None:
-        """A file as a whole or not at all. Asked twice at once it reads once."""
+        """Applies a file as a whole or not at all; of several reads that are done, the last counts."""
         current, last = ConfigReloaded(config.limits, config.discovery, config.settings, config.peers), config
         while True:
             loaded: StartupConfig | ValueError | None = None
@@ -109,13 +104,13 @@
             try:
                 if isinstance(loaded, ValueError):
                     raise loaded
-                # Cut by an editor or a template a file can be sound, and say less than was meant.
+                # A file truncated by an editor or a template can be valid but lack keys.
                 if missing := min(last.keys - loaded.keys, default=""):
                     raise ValueError(f"{self._path}: {missing}: missing, the file in force has it")
             except ValueError as problem:
                 self._log.event("reload_refused", problem=str(problem))
                 continue
-            # By the file alone: the variables name what was true at start.
+            # Compares the file's own values: environment variables reflect the state at start.
             discovery_changed = loaded.file_addresses[1] != last.file_addresses[1]
             settings = merge_settings(current.settings, loaded.settings)
             discovery = loaded.file_addresses[1] if discovery_changed else current.discovery
@@ -148,7 +143,7 @@
             current, last = update, loaded
 
     def _load(self) -> None:
-        """Read by the hand: a disk that is slow over it holds up nobody."""
+        """Reads the file in a thread, so that a slow disk blocks no actor."""
         future = self._file_calls.submit("file", lambda: read_config(self._path, self._talk, self._fleet))
 
         def done(loaded: asyncio.Future) -> None:
@@ -167,8 +162,10 @@
 
 
 def read_config(path: str, talk: bool = False, fleet: bool = False) -> StartupConfig:
-    """Read the file; ValueError names the file and the field. Without `talk` no peers are spoken to, and
-    without `fleet` there is none."""
+    """Reads the file; a ValueError names the file and the field.
+
+    `talk` enables messages to peers, `fleet` the fleet.
+    """
     try:
         whole = Path(path).read_bytes()
         text = msgspec.json.decode(whole, type=_ConfigFile)
@@ -189,7 +186,7 @@
         fleet_seat = read_seat(bytes(text.fleet), text.name) if fleet else None
     except ValueError as problem:
         raise ValueError(f"{path}: {problem}") from problem
-    # In a fleet the words of the decisions go with the fleet's own, where the settings allow any.
+    # In a fleet, peer messages travel over the fleet's transport, if the settings allow them.
     notify_peers = bool(peers) or (
         fleet_seat is not None
         and settings.config.notify_peers
@@ -222,12 +219,12 @@
 
 
 def _peer_addresses(given: list[str], settings: SchedulerSettings) -> tuple[tuple[str, int], ...]:
-    """The schedulers' addresses by position; none at all is a fleet whose members don't know each other."""
+    """The schedulers' addresses by position; an empty list means that they do not know each other."""
     addresses, scheduler_config = tuple(map(wire.parse_address, given)), settings.config
     if addresses and len(addresses) != scheduler_config.schedulers:
         raise ValueError(f"{len(addresses)} addresses for {scheduler_config.schedulers} instances")
     for host, _ in addresses:
-        try:  # a name would be looked up by each message sent, on the loop
+        try:  # a host name would be resolved for each message, blocking the loop
             ipaddress.ip_address(host)
         except ValueError as problem:
             raise ValueError(f"{host!r} is not an IP address") from problem
@@ -239,7 +236,7 @@
 
 
 def _key_paths(value: object, prefix: str) -> Iterator[str]:
-    """The path of every key; of a list's entries those that all have.
+    """The path of every key; for a list, the keys that all its entries have.
 
     >>> sorted(_key_paths({"a": {"b": 1}, "c": [{"d": 1, "e": 2}, {"d": 3}], "f": []}, ""))
     ['a', 'a.b', 'c', 'c[].d', 'f']
--- a/sableford/net/state_directory.py
+++ b/sableford/net/state_directory.py
@@ -1,7 +1,7 @@
-"""The folder that the processes of one scheduler share: who lives there, and what each wrote.
+"""The directory shared by the processes of one scheduler: which of them live, and their published states.
 
-It owns the files and what each of them means. Every call may take as long as the disk likes, so after the
-start all of them are a hand's. It must never take what another process wrote for more than a claim.
+Each process holds a lock on `{token}.lock` while it lives, and writes `{token}.word`. Calls may block on the
+disk, so after the start they run in a thread. Content written by other processes is validated.
 """
 
 import fcntl
@@ -20,9 +20,9 @@
 
 class StateDirectory:
     def __init__(self, name: str, token: str, dead_state_valid: float) -> None:
-        """`remembered`: ms for which a dead process's word counts. OSError where the folder can't be had."""
+        """`dead_state_valid`: ms for which a dead process's state counts. OSError if the directory is bad."""
         self._token, self._dead_state_valid = token, dead_state_valid
-        # By token: which file, and what it said.
+        # By token: the file version and its decoded content.
         self._cache: dict[str, tuple[tuple[int, ...], ProcessState | None]] = {}
         self._heartbeat_at = 0.0
         self.path = Path(tempfile.gettempdir(), name)
@@ -30,21 +30,23 @@
         status = self.path.lstat()
         if not stat.S_ISDIR(status.st_mode) or status.st_uid != os.geteuid():
             raise PermissionError(f"{self.path} is another's")
-        # Locked before it has its name: seen without a lock it would pass for a dead one's.
+        # Locked before it is renamed: an unlocked lock file counts as a dead process's.
         temporary = self.path / f"{token}.new"
         self.lock = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         temporary.rename(self.path / f"{token}.lock")
 
     def write(self, state: ProcessState) -> None:
-        """The own word, whole or not at all. Not flushed: it outlives the process, not the machine."""
+        """Publishes this process's state atomically. No fsync: it survives the process, not the machine."""
         temporary = self.path / f"{self._token}.part"
         temporary.write_bytes(msgspec.json.encode(state))
         temporary.rename(self.path / f"{self._token}.word")
 
     def poll(self, heartbeat: float = 0.0) -> tuple[list[OtherProcess], list[ProcessState]]:
-        """Who else lives, and the words of those that died just now, whose files are removed. Every `beat` ms
-        the own lock is renewed, which dates this process's word after its death."""
+        """Returns the other live processes, and the states of recently dead ones, whose files are removed.
+
+        Every `heartbeat` ms the own lock file is touched, which dates this process's state after its death.
+        """
         living: list[OtherProcess] = []
         dead_states: list[ProcessState] = []
         if heartbeat and time.monotonic() * 1000.0 - self._heartbeat_at >= heartbeat:
@@ -71,7 +73,7 @@
         return living, dead_states
 
     def _last_sign(self, token: str) -> float | None:
-        """When one that is dead gave its last sign; none for one that lives."""
+        """Last heartbeat of a dead process; None for a live one."""
         try:
             file = os.open(self.path / f"{token}.lock", os.O_RDONLY | os.O_CLOEXEC)
         except OSError:
--- a/sableford/net/wire.py
+++ b/sableford/net/wire.py
@@ -1,7 +1,4 @@
-"""The words of the protocol in one place: headers, paths, fields, states, and readers of its small forms.
-
-It owns the spelling of what is sent and received, and must never send anything or hold any state.
-"""
+"""The wire protocol: headers, paths, fields and states, with parsers and formatters. No I/O, no state."""
 
 import re
 from collections.abc import Iterable
@@ -14,13 +11,8 @@
 
 ID, SCHEME, TIME_LEFT, FACTS = b"x-correlation-id", b"x-service-class", b"x-time-left", b"x-facts"
 LENGTH, CODING = b"content-length", b"transfer-encoding"
-SINGLE_HEADERS = (
-    ID,
-    SCHEME,
-    TIME_LEFT,
-    FACTS,
-    b"host",
-)  # of two it would hang on the reader which one counts
+# If one of these came twice, parsers could disagree on which one counts.
+SINGLE_HEADERS = (ID, SCHEME, TIME_LEFT, FACTS, b"host")
 LOAD, NOT_RUN = b"x-backend-load", b"x-unprocessed"
 READY, HEALTH, LOAD_PATH, LIST = b"/ready", b"/health", b"/status/load", "/v1/endpoints"
 JOB_METHOD, JOB_PATH = b"POST", b"/api"
@@ -28,12 +20,12 @@
 PAUSE = b"retry-after"
 STARTED, RUNNING, DONE, FAILED, RETURNED, LOST = "started", "running", "done", "failed", "returned", "lost"
 PHASE_STANDINGS = {"left": 0, "active": 1, "leaving": 2}
-# Of one connection alone, or written anew: all other headers go on as they came.
+# Hop-by-hop headers, and those that are written anew; all others are forwarded unchanged.
 _HOP_BY_HOP = (
     b"host connection keep-alive transfer-encoding content-length te trailer upgrade expect proxy-connection"
 )
 NOT_FORWARDED = frozenset((*_HOP_BY_HOP.split(), TIME_LEFT))
-# What the settings call a report's figure, and its other name.
+# Names of load figures in the settings, and their alternatives in reports.
 FIGURES = {
     "concurrent": "inflight",
     "mean_ms": "latency_ms",
@@ -44,8 +36,8 @@
 }
 _VALID_ID = re.compile(rb"[\x21-\x7e]{1,256}")
 _PRINTABLE = re.compile(rb"[\t\x20-\x7e]*")
-MAX_WORK_S = 1e5  # s: a txn that says it runs longer says nothing
-MAX_SLOTS = 1e6  # a txn that says it needs more says nothing
+MAX_WORK_S = 1e5  # s: a larger value of a txn is ignored
+MAX_SLOTS = 1e6  # a larger value of a txn is ignored
 _TIME_LEFT = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])")
 
 
@@ -64,7 +56,7 @@
 
 
 def parse_facts(text: bytes) -> tuple[float, float]:
-    """The slots that a txn says it needs, and its work in ms; what is senseless counts as not said.
+    """The slots that a txn states it needs, and its work in ms; invalid values count as not stated.
 
     >>> parse_facts(b"slots=2,expected_s=0.25"), parse_facts(b"slots=-2,expected_s=-1")
     ((2.0, 250.0), (1.0, 0.0))
@@ -77,7 +69,7 @@
 
 
 def forwarded_headers(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """What goes on to a worker: not what is of one connection alone, nor what a strict reader can't read.
+    """Headers to forward to a worker: without hop-by-hop ones and values that a strict parser rejects.
 
     >>> given = [(b"Connection", b"X-Hop"), (b"x-hop", b"1"), (b"X-Odd", b"\\xe9"), (b"Accept", b"*/*")]
     >>> forwarded_headers(given)
@@ -99,7 +91,7 @@
 
 
 def parse_figures(text: bytes) -> dict[str, float]:
-    """Figures as `name=value,name=value`; what is no figure is passed over.
+    """Parses `name=value,name=value`; entries that are not numbers are skipped.
 
     >>> parse_figures(b"queue=2,x0= 3.5,x1=many, =4")
     {'queue': 2.0, 'x0': 3.5}
@@ -117,7 +109,7 @@
 
 
 def select_figures(found: dict[str, Any], figures: tuple[str, ...]) -> tuple[float, ...]:
-    """The report in the settings' order; one with a figure missing or senseless is none.
+    """The figures in the settings' order; empty if one is missing or invalid.
 
     >>> select_figures({"queue": 2, "x0": 1.0}, ("depth", "x0"))
     (2.0, 1.0)
@@ -131,7 +123,7 @@
 
 
 def parse_report(text: bytes, figures: tuple[str, ...]) -> tuple[float, ...]:
-    """A report that is a body of its own, in either form.
+    """Parses a load report from a response body, JSON or `name=value`.
 
     >>> [parse_report(text, ("depth",)) for text in (b'{"queue":1}', b"queue=1", b"fine")]
     [(1.0,), (1.0,), ()]
@@ -157,7 +149,7 @@
     load: msgspec.Raw = msgspec.Raw()
 
     def body(self) -> bytes | None:
-        """What the client is to get; a result that is no text goes on as it stands."""
+        """The response body for the client; a result that is no string is forwarded as JSON."""
         raw = bytes(self.result)
         if not raw:
             return None
@@ -199,7 +191,7 @@
     complete: bool
     worker_list: WorkerList
     addresses: dict[str, tuple[str, int]]
-    invalid: tuple[str, ...]  # lines passed over, and why
+    invalid: tuple[str, ...]  # why entries were skipped
 
 
 _listing = msgspec.json.Decoder(_Listing).decode
@@ -218,7 +210,7 @@
 
 
 def encode_listing(entries: Iterable[tuple], endpoints: dict, settings: SchedulerSettings) -> bytes:
-    """A list in discovery's words, of lines as a sheet has them and where each worker listens."""
+    """Encodes a worker list in discovery's format, from list entries and the workers' endpoints."""
     phases = {standing: phase for phase, standing in PHASE_STANDINGS.items()}
     members = [
         {
@@ -237,7 +229,7 @@
 
 
 def decode_listing(text: bytes, settings: SchedulerSettings) -> Listing:
-    """A list as discovery words it; a senseless line is passed over, the rest counts."""
+    """Decodes discovery's worker list; invalid entries are skipped."""
     given = _listing(text)
     entries, addresses, invalid = [], {}, []
     for raw in given.members:
--- a/sableford/net/workers.py
+++ b/sableford/net/workers.py
@@ -1,7 +1,7 @@
-"""Connections to workers: one actor for each, which keeps its lines and carries postings on them.
+"""Connections to workers: one actor per worker, with a pool of connections that postings are sent on.
 
-It owns what became of a posting and whether it can have run; doubt means that it may have. It must never send
-a posting twice, choose a worker, or stop waiting unasked.
+It determines the outcome of a posting; if it is unknown whether the txn ran, it counts as possibly run. A
+posting is sent once at most, its worker is chosen elsewhere, and only the dispatcher or the deadline ends it.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 
 class Worker:
-    """One worker as this scheduler sees it."""
+    """The actor of one worker."""
 
     def __init__(
         self,
@@ -55,23 +55,15 @@
         log: Log,
     ) -> None:
         self.name, self.mailbox = name, Mailbox()
-        self._dispatcher, self._clock, self._limits, self._settings, self._log = (
-            dispatcher,
-            clock,
-            limits,
-            settings,
-            log,
-        )
+        self._dispatcher, self._clock, self._log = dispatcher, clock, log
+        self._limits, self._settings = limits, settings
         self._endpoint, self._quota = WorkerEndpoint(("", 0), 0.0, False), 1
-        self._idle: list[tuple[float, HttpConnection]] = []  # idle, the last used at the end
-        self._waiting: deque[asyncio.Future[HttpConnection | None]] = (
-            deque()
-        )  # of errands that wait for a line
+        self._idle: list[tuple[float, HttpConnection]] = []  # most recently used last
+        # Slots of operations that wait for a connection.
+        self._waiting: deque[asyncio.Future[HttpConnection | None]] = deque()
         self._in_use = 0
-        self._max_idle, self._max_idle_set_at = (
-            limits.worker_idle,
-            clock.now(),
-        )  # how long a line may rest and be used again
+        # How long a connection may be idle and still be reused.
+        self._max_idle, self._max_idle_set_at = limits.worker_idle, clock.now()
         self._operations: dict[tuple[Request, int] | None, asyncio.Task] = {}
         self._handlers = {
             SendPosting: self._start,
@@ -96,7 +88,7 @@
                     slot.set_result(self._take_idle())
 
     def _start(self, message: SendPosting | SendProbe) -> None:
-        """An errand, which waits for its turn within the posting's own time."""
+        """Starts a posting or a probe, which waits for a connection within its own deadline."""
         key = (message.request, message.posting) if isinstance(message, SendPosting) else None
         if key in self._operations:  # one probe at a time
             return
@@ -109,7 +101,7 @@
     def _cancelled_before_start(
         self, task: asyncio.Task, key: tuple[Request, int] | None, slot: asyncio.Future
     ) -> None:
-        """A posting called off in the batch that brought it took no step: its end was told to nobody."""
+        """Reports the end of a posting cancelled in the same batch that brought it, whose task never ran."""
         if task.cancelled():
             slot.cancel()
             self._dispatcher.put(
@@ -127,7 +119,7 @@
                 connection.abort()
             self._idle.clear()
         self._endpoint = message
-        # What waits for a line at a worker that drains was sent to it seconds after the drain was told.
+        # Postings that waited for a connection were sent seconds after the worker began to drain.
         for slot in () if message.ready else self._waiting:
             if not slot.done():
                 slot.set_exception(_NotSent())
@@ -139,12 +131,12 @@
         self._limits, self._settings = message.limits, message.settings
 
     def _idle_limit(self) -> float:
-        """How long a line may rest and be used again; less for a while where some proved dead."""
+        """Maximum idle time of a reusable connection; shorter for a while after some proved dead."""
         growth = 2.0 ** ((self._clock.now() - self._max_idle_set_at) / self._limits.stale_recovery)
         return min(self._limits.worker_idle, self._max_idle * growth)
 
     def _shorten_idle(self, message: StaleConnection) -> None:
-        """Lines that rested so long were dead: a posting written to one may have run, and is lost or late."""
+        """Reduces the idle limit: a posting sent on a dead connection may have run, and is lost or late."""
         self._max_idle = min(self._idle_limit(), max(self._limits.min_stale_idle, message.idle_ms / 2.0))
         self._max_idle_set_at = self._clock.now()
 
@@ -159,13 +151,13 @@
                 message.connection.abort()
 
     def _close_expired(self) -> None:
-        """Close what has been idle long enough, before the worker does, and what the worker has closed."""
+        """Closes connections that were idle for too long, before the worker does."""
         oldest_allowed = self._clock.now() - self._idle_limit()
         while self._idle and self._idle[0][0] <= oldest_allowed:
             self._idle.pop(0)[1].abort()
 
     def _take_idle(self) -> HttpConnection | None:
-        """A kept line that is still up, the last used first; none where one has to be opened."""
+        """The most recently used idle connection that is still open, or None."""
         while self._idle:
             idle_since, connection = self._idle.pop()
             if connection.usable() and self._clock.now() - idle_since < self._idle_limit():
@@ -174,15 +166,15 @@
         return None
 
     async def _send_posting(self, command: SendPosting, slot: asyncio.Future) -> None:
-        """One posting from its opening to its end, which is told exactly once."""
+        """Runs one posting; its end is reported exactly once."""
         request, posting, deadline = command
         endpoint, outcome, connection = self._endpoint, NOT_CONNECTED, None
         try:
             async with asyncio.timeout_at(self._clock.on_loop(deadline)):
                 connection = await slot
-                if self._clock.now() >= deadline:  # nothing leaves for a txn past its time
+                if self._clock.now() >= deadline:  # nothing is sent after the txn's deadline
                     raise TimeoutError
-                if connection is not None and not connection.usable():  # since its turn was given out
+                if connection is not None and not connection.usable():  # closed since it was assigned
                     connection = _abort(connection)
                 endpoint, connection = self._endpoint, connection or await self._connect()
                 if connection is not None:
@@ -197,11 +189,11 @@
             self._log.event("posting_broke", worker=self.name, problem=repr(problem))
             outcome = MAY_HAVE_RUN
         connection = connection or _assigned_connection(slot)
-        # Told with the connection still open, the next posting was a second copy beside this one.
+        # If the end were reported with the connection open, the next posting could run beside this one.
         if outcome in CLOSES_CONNECTION:
             connection = _abort(connection)
         self._dispatcher.put(PostingEnded(request, posting, *outcome))
-        # The line is given back in its own time: the end has been told.
+        # The end is reported already; the connection is returned when its response is complete.
         reusable = None
         try:
             reusable = (
@@ -218,7 +210,7 @@
         try:
             async with asyncio.timeout(self._limits.connect / 1000.0):
                 return await dial(self._endpoint.address, self._limits)
-        except OSError:  # a time-out of the connection is one too
+        except OSError:  # TimeoutError is an OSError
             return None
 
     def _host(self) -> bytes:
@@ -228,7 +220,7 @@
     async def _exchange(
         self, command: SendPosting, connection: HttpConnection
     ) -> tuple[Ending, tuple[float, ...], bytes]:
-        """Send the posting and hear it out."""
+        """Sends the posting and reads its response."""
         request = command.request
         head = h11.Request(
             method=request.method,
@@ -251,7 +243,7 @@
             while isinstance(answer := await connection.next_event(), h11.InformationalResponse):
                 pass
         except h11.RemoteProtocolError:
-            # Nothing came back but a reset, at once: the line was dead as it was taken up.
+            # An immediate reset without a response: the connection was dead when it was reused.
             if (
                 idle_ms > self._limits.min_stale_idle
                 and self._clock.now() - written_at < self._limits.transfer_when_full
@@ -270,14 +262,14 @@
             wire.parse_figures(headers.get(wire.LOAD, b"")), self._settings.load_columns
         )
         not_run = answer.status_code in (503, 504) and headers.get(wire.NOT_RUN) == b"1"
-        # What bad clients sent counted as its worker's fault, and took sound workers out.
+        # A 4xx must not count as the worker's fault: invalid requests took sound workers out.
         invalid_request = 400 <= answer.status_code < 500
         return Ending.FULL if not_run else Ending.UNFIT if invalid_request else Ending.ERROR, load, b""
 
     async def _read_events(
         self, command: SendPosting, connection: HttpConnection
     ) -> tuple[Ending, tuple[float, ...], bytes]:
-        """The lines of a job's stream, up to a last one; a stream without one broke."""
+        """Reads the job's event stream up to a final event; a stream without one may have run."""
         buffer = bytearray()
         while isinstance(event := await connection.next_event(), h11.Data):
             buffer += event.data
@@ -292,7 +284,7 @@
     def _parse_event(
         self, command: SendPosting, text: bytes
     ) -> tuple[Ending, tuple[float, ...], bytes] | None:
-        """What one line tells: the end, or none where the stream goes on."""
+        """The outcome if this event is final, else None."""
         if not text.strip():
             return None
         try:
@@ -320,7 +312,7 @@
         return MAY_HAVE_RUN
 
     async def _finish_response(self, connection: HttpConnection) -> bool:
-        """Read the message's end; whether the line can carry another."""
+        """Reads the end of the response; returns whether the connection can be reused."""
         if connection.state.our_state is not h11.DONE:
             return False
         try:
@@ -332,7 +324,7 @@
         return connection.next_cycle()
 
     async def _probe(self, slot: asyncio.Future) -> None:
-        """One probe."""
+        """Runs one probe."""
         endpoint, load, answered, connection, reusable = self._endpoint, (), False, None, None
         path = wire.LOAD_PATH if self._settings.load_columns else wire.HEALTH
         try:
@@ -364,16 +356,16 @@
 
 
 class _NotSent(Exception):
-    """The worker drains or has left before the errand's turn came."""
+    """The worker began to drain or left before a connection was available."""
 
 
 class _Released(NamedTuple):
-    """To the worker from its own errand: over, and the line that can carry another, if any."""
+    """From a finished operation to its worker's actor, with the connection if it can be reused."""
 
     key: tuple[Request, int] | None
     slot: asyncio.Future
     connection: HttpConnection | None
-    endpoint: WorkerEndpoint  # where the line leads to
+    endpoint: WorkerEndpoint  # the connection's destination
 
 
 def _has_result(slot: asyncio.Future) -> bool:
@@ -381,7 +373,7 @@
 
 
 def _assigned_connection(slot: asyncio.Future) -> HttpConnection | None:
-    """The line given to a turn, also where its errand was called off before it could take it."""
+    """The connection assigned to a slot, even if its operation was cancelled before taking it."""
     return slot.result() if _has_result(slot) else None
 
 
