--- a/sableford/net/cli.py
+++ b/sableford/net/cli.py
@@ -149,7 +149,7 @@
     envvar="BALANCER_CONFIG",
     required=True,
     metavar="FILE",
-    help="What the scheduler is told, as JSON.",
+    help="The configuration file, JSON.",
 )
 
 
@@ -200,7 +200,7 @@
 @click.option("--talk", is_flag=True, help="As it would be read for `serve --talk`.")
 @click.option("--fleet", is_flag=True, help="As it would be read for `serve --fleet`.")
 def check(config: str, talk: bool, fleet: bool) -> None:
-    """Read a configuration and say what was understood, or what is wrong."""
+    """Read a configuration and print a summary, or what is invalid."""
     try:
         startup = read_config(config, talk, fleet)
     except ValueError as problem:
--- a/tests/actors.py
+++ b/tests/actors.py
@@ -1,4 +1,4 @@
-"""Plain asserts on single actors, for what can't be timed from outside."""
+"""Tests of single actors, for event orders that cannot be forced from outside."""
 
 import asyncio
 import io
@@ -34,14 +34,14 @@
 from sableford.net.workers import Worker
 from tests.adapter import PROFILE
 
-ASKED = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: t1\r\nX-Service-Class: quote\r\n"
-ASKED += b"X-Time-Left: 900m\r\nContent-Length: 0\r\n\r\n"
+REQUEST = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: t1\r\nX-Service-Class: quote\r\n"
+REQUEST += b"X-Time-Left: 900m\r\nContent-Length: 0\r\n\r\n"
 
 
-def shows_a_request_read_beside_the_word_to_close_is_taken() -> None:
+def shows_a_request_read_together_with_a_close_command_is_dispatched() -> None:
     async def scene() -> list:
-        near, far = socket.socketpair()
-        near.setblocking(False)
+        local, remote = socket.socketpair()
+        local.setblocking(False)
         settings = SchedulerSettings(None, ("quote",), (), (), (), 5000.0, 250.0, frozenset({"quote"}))
         acceptor = SimpleNamespace(
             mailbox=Mailbox(), dispatcher=Mailbox(), clock=Clock(asyncio.get_running_loop())
@@ -54,19 +54,19 @@
         )
         client = Client(acceptor, 0.0)
         client.mailbox.put(CloseIfIdle())
-        client.mailbox.put(ASKED)
-        task = asyncio.create_task(client.run(near))
-        told = await acceptor.dispatcher.take(500.0)
+        client.mailbox.put(REQUEST)
+        task = asyncio.create_task(client.run(local))
+        messages = await acceptor.dispatcher.take(500.0)
         task.cancel()
-        far.close()
-        return told
+        remote.close()
+        return messages
 
-    told = asyncio.run(scene())
-    assert [type(message) for message in told] == [Request] and told[0].id == b"t1", told
+    messages = asyncio.run(scene())
+    assert [type(message) for message in messages] == [Request] and messages[0].id == b"t1", messages
 
 
-def shows_a_call_by_hand_goes_before_a_desk_full_of_txns_and_binds_them_all() -> None:
-    """The desk of a busy scheduler finds the call first, whatever waits."""
+def shows_an_operator_override_overtakes_thousands_of_waiting_txns() -> None:
+    """The override is handled before thousands of txns that wait for the dispatcher."""
 
     async def scene() -> tuple[float, list]:
         clock, limits = Clock(asyncio.get_running_loop()), divide_resources(100, 64, 5000.0, 250.0)
@@ -91,21 +91,21 @@
         reader, writer = await asyncio.open_connection(*listener.getsockname())
         for request in requests:
             dispatcher.mailbox.put(request)
-        began = clock.now()
+        sent_at = clock.now()
         writer.write(b"POST /workers/A/maint HTTP/1.1\r\nHost: x\r\n\r\n")
-        said = await reader.read()
-        late = clock.now() - began
+        response = await reader.read()
+        delay = clock.now() - sent_at
         for task in tasks:
             task.cancel()
         await asyncio.sleep(0)
-        assert said.startswith(b"HTTP/1.1 200"), said
-        return late, dispatcher._overrides
+        assert response.startswith(b"HTTP/1.1 200"), response
+        return delay, dispatcher._overrides
 
-    late, overrides = asyncio.run(scene())
-    assert late < 1000.0 and overrides["A"].out, (late, overrides)
+    delay, overrides = asyncio.run(scene())
+    assert delay < 1000.0 and overrides["A"].out, (delay, overrides)
 
 
-def shows_a_call_at_the_console_may_come_split_at_any_byte() -> None:
+def shows_a_console_call_may_be_split_at_any_byte() -> None:
     call = b"POST /workers/A/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nz"
 
     async def scene() -> None:
@@ -124,8 +124,11 @@
             writer.write(call[:at])
             await asyncio.sleep(0.002)
             writer.write(call[at:])
-            said = await reader.read()
-            assert said.startswith(b"HTTP/1.1 200") and said.endswith(b"A may serve\n"), (at, said)
+            response = await reader.read()
+            assert response.startswith(b"HTTP/1.1 200") and response.endswith(b"A may serve\n"), (
+                at,
+                response,
+            )
             writer.close()
         for task in tasks:
             task.cancel()
@@ -133,71 +136,76 @@
     asyncio.run(scene())
 
 
-def shows_an_answer_that_nobody_asked_for_meets_no_later_posting() -> None:
-    """A worker answers one posting twice: the second answer lies on the line as the next posting takes it.
-    Read as that one's, "not run" sent it to a second worker while the first ran it."""
+def shows_an_unsolicited_response_is_not_read_as_that_of_a_later_posting() -> None:
+    """A worker answers a posting twice, and the second response is unread when the connection is reused.
+
+    Read as the next posting's response, "not run" sent that to a second worker while the first ran it.
+    """
     chunk = b'{"id":"t1","from":"w","state":"done","result":"r1"}\n'
     done = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(chunk), chunk)
-    stray = b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+    unsolicited = b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
-    async def scene(comes: str) -> tuple[list, int]:
+    async def scene(arrival: str) -> tuple[list, int]:
         loop = asyncio.get_running_loop()
         clock, limits = Clock(loop), divide_resources(100, 64, 5000.0, 250.0)
         settings = parse_settings(json.dumps(PROFILE | {"zones": ["here"], "skus": ["box"]}).encode())
-        far_ends: list[socket.socket] = []
+        remote_ends: list[socket.socket] = []
 
         async def dial(address, limits) -> HttpConnection:
-            near, far = socket.socketpair()
-            near.setblocking(False)
-            far.setblocking(False)
-            far_ends.append(far)
-            reader, writer = await open_streams(limits, sock=near)
+            local, remote = socket.socketpair()
+            local.setblocking(False)
+            remote.setblocking(False)
+            remote_ends.append(remote)
+            reader, writer = await open_streams(limits, sock=local)
             return HttpConnection(reader, writer, h11.CLIENT, limits)
 
-        workers.dial, whole = dial, workers.dial
+        workers.dial, original_dial = dial, workers.dial
         dispatcher = Mailbox()
         worker = Worker("w", dispatcher, clock, limits, settings, Log("n0", sink=io.BytesIO()))
         task = asyncio.create_task(worker.run())
         endings = []
         try:
             worker.mailbox.put(WorkerEndpoint(("w", 1), 0.0, True))
-            for name, word in ((b"t1", chunk), (b"t2", chunk.replace(b"t1", b"t2"))):
+            for name, event in ((b"t1", chunk), (b"t2", chunk.replace(b"t1", b"t2"))):
                 request = Request(Mailbox(), b"POST", b"/api", [(b"x-correlation-id", name)], b"")
                 request.id = name
                 worker.mailbox.put(SendPosting(request, 0, clock.now() + 60_000.0))
-                await until(lambda name=name: posted(name, far_ends))
-                line = posted(name, far_ends)
-                line.recv(9999)
-                answer = done.replace(chunk, word)
-                line.sendall(answer + stray if comes == "glued" and name == b"t1" else answer)
+                await wait_until(lambda name=name: connection_of(name, remote_ends))
+                connection = connection_of(name, remote_ends)
+                connection.recv(9999)
+                answer = done.replace(chunk, event)
+                connection.sendall(answer + unsolicited if arrival == "glued" and name == b"t1" else answer)
                 (back,) = [one for one in await dispatcher.take(None) if isinstance(one, PostingEnded)]
                 endings.append(back.ending)
-                if name == b"t1" and comes == "at rest":
-                    await until(lambda: worker._idle)
-                    line.sendall(stray)
-                    await until(lambda: worker._idle[0][1].reader.buffered)  # it has left the kernel
-                elif name == b"t1" and comes == "as it is taken":
-                    await until(lambda: worker._idle)
+                if name == b"t1" and arrival == "at rest":
+                    await wait_until(lambda: worker._idle)
+                    connection.sendall(unsolicited)
+                    await wait_until(lambda: worker._idle[0][1].reader.buffered)  # it has left the kernel
+                elif name == b"t1" and arrival == "as it is taken":
+                    await wait_until(lambda: worker._idle)
                     take = worker._take_idle
-                    worker._take_idle = lambda line=line, take=take: (take(), line.sendall(stray))[0]
+                    worker._take_idle = lambda connection=connection, take=take: (
+                        take(),
+                        connection.sendall(unsolicited),
+                    )[0]
         finally:
-            workers.dial = whole
+            workers.dial = original_dial
             task.cancel()
-            for line in far_ends:
-                line.close()
-        return endings, len(far_ends)
+            for connection in remote_ends:
+                connection.close()
+        return endings, len(remote_ends)
 
-    async def until(so) -> None:
+    async def wait_until(so) -> None:
         while not so():
             await asyncio.sleep(0)
 
-    def posted(name: bytes, lines: list[socket.socket]) -> socket.socket | None:
-        """The line on which a posting lies."""
-        for line in lines:
+    def connection_of(name: bytes, connections: list[socket.socket]) -> socket.socket | None:
+        """The connection on which a posting was sent."""
+        for connection in connections:
             with suppress(BlockingIOError, ConnectionResetError):
-                if name in line.recv(9999, socket.MSG_PEEK):
-                    return line
+                if name in connection.recv(9999, socket.MSG_PEEK):
+                    return connection
         return None
 
-    for comes in ("glued", "at rest", "as it is taken"):
-        assert asyncio.run(scene(comes)) == ([Ending.SETTLED] * 2, 2), comes
+    for arrival in ("glued", "at rest", "as it is taken"):
+        assert asyncio.run(scene(arrival)) == ([Ending.SETTLED] * 2, 2), arrival
--- a/tests/handover.py
+++ b/tests/handover.py
@@ -1,6 +1,6 @@
-"""Plain asserts on what processes of one scheduler find of each other in their folder.
+"""Tests of the handover between processes of one scheduler through their shared directory.
 
-What is claimed to come is waited for until it is there; how long a busy machine takes for it is no claim.
+Expected events are waited for without a time limit, so that a busy machine does not fail a test.
 """
 
 import asyncio
@@ -30,9 +30,9 @@
 
 
 class Process:
-    """One process's handover with the mailboxes it tells."""
+    """One process's handover actor, with the mailboxes it sends to."""
 
-    instances: ClassVar[list["Process"]] = []  # of the scene under way
+    instances: ClassVar[list["Process"]] = []  # of the current scene
 
     def __init__(self, name: str = "n0") -> None:
         Process.instances.append(self)
@@ -51,11 +51,11 @@
         await reply.take()
 
     async def at_rest(self) -> None:
-        """Its thread has done all that it was asked, so the folder is no longer written by it."""
+        """Waits until its thread is done, so that it writes no more files."""
         await self.it._file_calls.submit("at rest", lambda: None)
 
     async def die(self) -> None:
-        """As by a kill: nothing more is said, its thread writes nothing more, and the lock goes."""
+        """Simulates a kill: no more messages, no more writes, and the lock is released."""
         if self.task:
             self.task.cancel()
         await self.at_rest()
@@ -72,7 +72,7 @@
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Comes back once it holds; what never does is ended by the runner, which names the test."""
+    """Waits until the condition holds; the test runner times out if it never does."""
     while not holds():
         await asyncio.sleep(0.005)
 
@@ -82,7 +82,7 @@
         Process.instances.clear()
         try:
             await scene(folder)
-        finally:  # a thread that still wrote would keep the folder from being removed
+        finally:  # a writing thread would prevent the removal of the folder
             for process in Process.instances:
                 await process.end()
 
@@ -94,7 +94,7 @@
             tempfile.tempdir = None
 
 
-def shows_a_call_at_either_process_reaches_the_other_and_the_next_start() -> None:
+def shows_an_override_at_either_process_reaches_the_other_and_the_next_start() -> None:
     async def scene(folder: Path) -> None:
         old = Process()
         old.serve()
@@ -121,7 +121,7 @@
     in_folder(scene)
 
 
-def shows_a_call_in_the_last_moments_of_a_process_that_ends_cleanly_reaches_the_other() -> None:
+def shows_an_override_in_the_last_moments_of_a_clean_end_reaches_the_other_process() -> None:
     async def scene(folder: Path) -> None:
         old = Process()
         old.serve()
@@ -140,7 +140,7 @@
     in_folder(scene)
 
 
-def shows_cold_turns_pass_to_the_younger_once_it_serves_and_back_when_it_dies() -> None:
+def shows_warm_up_ownership_passes_to_the_newer_process_once_it_serves_and_back_when_it_dies() -> None:
     async def scene(folder: Path) -> None:
         old = Process()
         assert old.it.owns_warm_up()
@@ -149,9 +149,8 @@
         new = Process()
         assert not new.it.owns_warm_up()
         await asyncio.sleep(0.4)
-        assert old.it.owns_warm_up() and not received(
-            old.dispatcher, WarmUpOwnership
-        )  # the new one does not serve yet
+        # The new process does not serve yet.
+        assert old.it.owns_warm_up() and not received(old.dispatcher, WarmUpOwnership)
         new.serve()
         held = []
         while not held or held[-1] != (False, True):
@@ -173,20 +172,20 @@
     in_folder(scene)
 
 
-def shows_what_is_torn_stale_huge_or_of_another_version_stops_no_start_and_keeps_no_ban() -> None:
+def shows_an_invalid_stale_or_oversized_state_neither_prevents_a_start_nor_keeps_an_override() -> None:
     async def scene(folder: Path) -> None:
         old = Process()
         old.serve()
         await old.call("a", True)
         await old.die()
-        place = next(folder.iterdir())
-        lock = next(place.glob("*.lock"))
+        directory = next(folder.iterdir())
+        lock = next(directory.glob("*.lock"))
         os.utime(lock, (time.time() - 60.0, time.time() - 60.0))
-        later = Process()
-        assert later.overrides == []  # the other is long dead
-        await later.die()
-        for at, text in enumerate(
-            (  # each beside the lock of one that is dead
+        restarted = Process()
+        assert restarted.overrides == []  # the other process died long ago
+        await restarted.die()
+        for index, content in enumerate(
+            (  # each with the lock file of a dead process
                 b"",
                 b'{"format":1,',
                 b'{"format":7}',
@@ -195,16 +194,16 @@
                 b"\xff",
             )
         ):
-            (place / f"{at}-1.lock").write_bytes(b"")
-            (place / f"{at}-1.word").write_bytes(text)
+            (directory / f"{index}-1.lock").write_bytes(b"")
+            (directory / f"{index}-1.word").write_bytes(content)
             process = Process()
-            assert process.overrides == [] and process.it.owns_warm_up(), text[:20]
+            assert process.overrides == [] and process.it.owns_warm_up(), content[:20]
             await process.die()
 
     in_folder(scene)
 
 
-def shows_without_a_usable_folder_it_stands_alone() -> None:
+def shows_a_process_without_a_usable_folder_works_alone() -> None:
     async def scene(folder: Path) -> None:
         tempfile.tempdir = str(folder / "none")
         process = Process()
@@ -219,7 +218,7 @@
     in_folder(scene)
 
 
-def shows_schedulers_of_other_names_have_nothing_to_do_with_each_other() -> None:
+def shows_schedulers_of_different_names_do_not_share_state() -> None:
     async def scene(folder: Path) -> None:
         one = Process()
         assert Process("n1").share == 1 and one.it.owns_warm_up()
--- a/tests/slow.py
+++ b/tests/slow.py
@@ -1,7 +1,7 @@
-"""One scheduler whose disk can be made slow from outside: `python -m tests.slow serve ...`.
+"""Runs a scheduler with a simulated slow disk: `python -m tests.slow serve ...`.
 
-SLOW_MS is how long each call on a file then takes, from the start with SLOW_AT=start, else from SIGUSR1 on.
-All is done by the interpreter's own audit events, so that no line of the program has to know.
+Each file operation takes SLOW_MS, from the start with SLOW_AT=start, otherwise from SIGUSR1 on. The delay is
+added in an audit hook, so that the program needs no change.
 """
 
 import os
@@ -11,22 +11,31 @@
 
 from sableford.net.cli import main
 
-DISK = {"open", "os.rename", "os.scandir", "os.utime", "os.remove", "os.mkdir", "os.listdir", "os.truncate"}
-DELAY = float(os.environ.get("SLOW_MS", "0")) / 1000.0
-slow = os.environ.get("SLOW_AT") == "start"
+DISK_EVENTS = {
+    "open",
+    "os.rename",
+    "os.scandir",
+    "os.utime",
+    "os.remove",
+    "os.mkdir",
+    "os.listdir",
+    "os.truncate",
+}
+DELAY_S = float(os.environ.get("SLOW_MS", "0")) / 1000.0
+is_slow = os.environ.get("SLOW_AT") == "start"
 
 
-def hold(event: str, given: tuple) -> None:
-    if slow and event in DISK and ".py" not in str(given[0]):
-        time.sleep(DELAY)
+def delay_disk_call(event: str, arguments: tuple) -> None:
+    if is_slow and event in DISK_EVENTS and ".py" not in str(arguments[0]):
+        time.sleep(DELAY_S)
 
 
-def begin(*_: object) -> None:
-    global slow
-    slow = True
+def start_delays(*_: object) -> None:
+    global is_slow
+    is_slow = True
 
 
 if __name__ == "__main__":
-    signal.signal(signal.SIGUSR1, begin)
-    sys.addaudithook(hold)
+    signal.signal(signal.SIGUSR1, start_delays)
+    sys.addaudithook(delay_disk_call)
     main()
--- a/tests/socket_scenes.py
+++ b/tests/socket_scenes.py
@@ -1,20 +1,20 @@
-"""Scenarios played at a whole scheduler on loopback (`tests/sockets/`) among stubs.
+"""Runs the scenes of `tests/sockets/` against a whole scheduler on loopback among stubs.
 
-Steps have no times: each acts at once, and a claim waits for what it names: with a count of 0 a moment for it
-not to come, after `now` not at all.
+Steps run at once. An assertion waits for the event it names; with a count of 0 it waits a moment for the
+event not to occur, and after `now` it does not wait.
 
-    worker A [shut|deaf]              listens and is listed; nobody listens; no connection comes up
-    take t1 quote left=900m on=c      a client posts t1, on a connection of its own or on c
+    worker A [shut|deaf]              listed; listening, not listening, or not accepting
+    take t1 quote left=900m on=c      a client sends t1, on a connection of its own or on c
     say t1 started|running|done TEXT|failed|returned|lost|STATUS HEADER|text LINE|end|cut
-    dead A                            resets each kept line as it is used again
+    dead A                            resets each connection that is reused
     list A phase=leaving | list whole A | list old A | agent mute|speak|drop
     file settings.schemes.0.expiry_s -5 | file seed drop | file settings.schemes + JSON     before a reload
     call c POST /workers/A/maint | whisper c BYTES     to the console, which `terms door=1` opens
-    raw c BYTES [~ BYTES ...]         in pieces, each some time after the one before
+    raw c BYTES [~ BYTES ...]         in pieces, with a delay between them
     hangup c | sigterm | reload [torn] KEY=VALUE | fail | files 1 | wait 20
-    drip                              from now on all that stubs and clients say comes byte by byte
-    speak p1 A 3                      another scheduler says what it has at A (`terms peers=2` has p1)
-    told: word p1 A 1 | at A t1 LINE BODY | closed A t1
+    drip                              from now on stubs and clients send byte by byte
+    speak p1 A 3                      another scheduler reports its load at A (`terms peers=2` has p1)
+    recorded: word p1 A 1 | at A t1 LINE BODY | closed A t1
     answer t1 200 BODY | closed c | watch 3 | whole | log EVENT | in force x,y (schemes after a reload)
     called c 200 TEXT | hushed c (no answer) | ends 0 | probe A | copy t1 (two at once at workers)
 """
@@ -40,69 +40,71 @@
 from tests.notation import bounds, expand_range, options
 from tests.socket_stubs import Stubs
 
-AGAIN = "POST /api HTTP/1.1\\r\\nHost: x\\r\\nX-Correlation-Id: t\\r\\nContent-Length: 0\\r\\n\\r\\n"
+REPEATED_REQUEST = (
+    "POST /api HTTP/1.1\\r\\nHost: x\\r\\nX-Correlation-Id: t\\r\\nContent-Length: 0\\r\\n\\r\\n"
+)
 
-PIECE_S = 0.12  # between two pieces of a raw message
+PIECE_DELAY_S = 0.12  # between two pieces of a raw message
 
 
 class Sockets(Stubs):
-    """One scheduler on loopback among its stubs: the steps of a scene, and its claims."""
+    """One scheduler on loopback among stubs, with the steps and assertions of a scene."""
 
     async def open(self) -> None:
-        place = await self.agent()
+        address = await self.agent()
         with socket.socket() as free, socket.socket() as other:
             free.bind((self.host(2), 0))
             other.bind((self.host(4), 0))
-            self.place, self.door = ("{}:{}".format(*one.getsockname()) for one in (free, other))
-        told = self.terms
+            self.address, self.console = ("{}:{}".format(*one.getsockname()) for one in (free, other))
+        terms = self.terms
         settings = {
-            "instances": int(told["peers"]),
+            "instances": int(terms["peers"]),
             "schemes": self.schemes,
             "limits": {
                 "peers": False,
-                "most_postings": int(told["postings"]),
+                "most_postings": int(terms["postings"]),
                 "may_cancel": True,
-                "probes": bool(told["probes"]),
+                "probes": bool(terms["probes"]),
                 "retry_after": True,
-                "max_retry_after_s": told["pause"],
-                "conn_idle_s": told["idle"],
+                "max_retry_after_s": terms["pause"],
+                "conn_idle_s": terms["idle"],
             },
             "obligations": {
                 "overload_factor": 2.5,
                 "fall_s": 2,
                 "start_capacity": 0.2,
                 "warm_within_s": 9,
-                "ask_within_s": told["ask"],
+                "ask_within_s": terms["ask"],
             },
-            "registry_mode": "subscribe" if told["ask"] else "automatic",
+            "registry_mode": "subscribe" if terms["ask"] else "automatic",
             "load_info": {"columns": ["depth", "x0"], "via": "inline"},
             "specifics": {
                 "report_x0": "free slots",
-                "tells_start": bool(told["tells"]),
-                "progress_s": told["progress"],
+                "tells_start": bool(terms["tells"]),
+                "progress_s": terms["progress"],
             },
             "zones": ["here", "there"],
             "skus": ["box"],
         }
         settings = json.loads(json.dumps(settings))
-        self.berth = {
+        self.config = {
             "name": "n0",
-            "listen": self.place,
-            "discovery": place,
+            "listen": self.address,
+            "discovery": address,
             "seed": "5eed",
-            "limits": {"sockets": int(told["sockets"]), "memory_mb": 64},
-            "known": self.listing(self.listed, True),
+            "limits": {"sockets": int(terms["sockets"]), "memory_mb": 64},
+            "known": self.listing(self.members, True),
             "settings": settings,
         }
-        if told["door"]:
-            self.berth["console"] = self.door
-        if told["peers"] > 1:
-            self.berth["peers"] = [self.place, *map(self.peer, range(1, int(told["peers"])))]
-        self.file.write_text(json.dumps(self.berth))
-        read = read_config(str(self.file), talk=True)
-        read = read._replace(limits=read.limits._replace(**self.limits))
-        self.running = asyncio.create_task(run(read, str(self.file), Log("n0", sink=self), talk=True))
-        self.running.add_done_callback(lambda task: self.told.append(f"ends {task.result()}"))
+        if terms["door"]:
+            self.config["console"] = self.console
+        if terms["peers"] > 1:
+            self.config["peers"] = [self.address, *map(self.peer, range(1, int(terms["peers"])))]
+        self.file.write_text(json.dumps(self.config))
+        loaded = read_config(str(self.file), talk=True)
+        loaded = loaded._replace(limits=loaded.limits._replace(**self.limits))
+        self.running = asyncio.create_task(run(loaded, str(self.file), Log("n0", sink=self), talk=True))
+        self.running.add_done_callback(lambda task: self.observed.append(f"ends {task.result()}"))
         await self.until("watch *")
 
     async def do_speak(self, peer: str, *rest: str) -> None:
@@ -112,7 +114,7 @@
             if rest[1:]
             else rest[0].encode()
         )
-        host, _, port = self.place.rpartition(":")
+        host, _, port = self.address.rpartition(":")
         line.sendto(word, (host, int(port)))
 
     async def step(self, words: list[str]) -> None:
@@ -120,14 +122,16 @@
         if verb not in ("terms", "limits", "scheme", "worker"):
             if self.running is None:
                 await self.open()
-            self.told.clear()
+            self.observed.clear()
         await getattr(self, f"do_{verb}")(*rest)
 
     async def do_terms(self, *rest: str) -> None:
         self.terms |= options(rest)
 
     async def do_limits(self, *rest: str) -> None:
-        self.limits |= {key: type(getattr(Limits(0, 0, 0, 0), key))(at) for key, at in options(rest).items()}
+        self.limits |= {
+            key: type(getattr(Limits(0, 0, 0, 0), key))(index) for key, index in options(rest).items()
+        }
 
     async def do_scheme(self, name: str, repeats: str, *rest: str) -> None:
         word = {"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}[repeats]
@@ -135,23 +139,23 @@
         self.schemes.append(given | {"memory_span_s": 9.0} | options(rest))
 
     async def do_worker(self, name: str, *rest: str) -> None:
-        """A worker that listens and is listed; `shut` listens nowhere, `deaf` never lets a connection up."""
+        """Adds a listed worker; `shut` does not listen, `deaf` never accepts a connection."""
         if "shut" in rest or "deaf" in rest:
-            place = socket.socket()
-            place.bind((self.host(3), 0))
-            self.fillers.append(place)
+            address = socket.socket()
+            address.bind((self.host(3), 0))
+            self.fillers.append(address)
             if "deaf" in rest:
-                place.listen(0)
-                for _ in range(3):  # the backlog is full, and what comes then is passed over in silence
+                address.listen(0)
+                for _ in range(3):  # with a full backlog, further connections get no reply
                     self.fillers.append(filler := socket.socket())
                     filler.setblocking(False)
-                    filler.connect_ex(place.getsockname())
+                    filler.connect_ex(address.getsockname())
         else:
             serve = partial(self.worker, name)
-            place = (await asyncio.start_server(serve, self.host(3), 0)).sockets[0]
-        self.listed[name] = {
+            address = (await asyncio.start_server(serve, self.host(3), 0)).sockets[0]
+        self.members[name] = {
             "id": name,
-            "host_port": "{}:{}".format(*place.getsockname()),
+            "host_port": "{}:{}".format(*address.getsockname()),
             "locality": "here",
             "flavor": "box",
             "phase": "active",
@@ -161,33 +165,33 @@
         }
 
     async def do_list(self, *rest: str) -> None:
-        """One line changes; `whole NAME ...`: the others have left; `old NAME`: of a version long past."""
+        """Changes one entry; `whole NAME ...`: all others have left; `old NAME`: sends an older revision."""
         if rest[0] in ("whole", "old"):
             self.revision += -2 if rest[0] == "old" else 1
             if rest[0] == "whole":
-                self.listed = {name: self.listed[name] for name in rest[1:]}
-            self.tell(rest[1:], rest[0] == "whole")
+                self.members = {name: self.members[name] for name in rest[1:]}
+            self.send_listing(rest[1:], rest[0] == "whole")
             return
         for key, _, value in (word.partition("=") for word in rest[1:]):
-            self.listed[rest[0]][key] = float(value) if value.isdigit() else value
+            self.members[rest[0]][key] = float(value) if value.isdigit() else value
         self.revision += 1
-        self.tell(rest[:1], False)
+        self.send_listing(rest[:1], False)
 
     async def do_agent(self, word: str) -> None:
-        """`mute`: discovery falls silent; `drop`: it breaks its connections; `speak`: it answers again."""
-        self.mute = word == "mute"
+        """`mute`: discovery stops answering; `drop`: it resets its connections; `speak`: it answers again."""
+        self.silent = word == "mute"
         for writer in self.watchers if word == "drop" else ():
             writer.transport.abort()
 
     async def do_take(self, txns: str, scheme: str, *rest: str) -> None:
-        """Each txn on a connection of its own, or `on=` one that is kept."""
-        facts = dict(word.split("=") for word in rest)
+        """Sends each txn on a connection of its own, or on the one named by `on=`."""
+        arguments = dict(word.split("=") for word in rest)
         for txn in expand_range(txns):
-            body = facts.get("body", "").encode()
+            body = arguments.get("body", "").encode()
             head = f"POST /api?user=7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {txn}\r\n"
-            head += f"X-Service-Class: {scheme}\r\nX-Time-Left: {facts.get('left', '5000m')}\r\n"
+            head += f"X-Service-Class: {scheme}\r\nX-Time-Left: {arguments.get('left', '5000m')}\r\n"
             head += f"X-Facts: slots=1\r\nContent-Length: {len(body)}\r\n\r\n"
-            await self.send(facts.get("on", txn), txn, head.encode() + body)
+            await self.send(arguments.get("on", txn), txn, head.encode() + body)
 
     async def do_raw(self, name: str, *rest: str) -> None:
         text = (
@@ -196,48 +200,48 @@
             .replace("*70000", "9" * 70_000)
             .replace("*many", "9" * 2_000_000)
         )
-        text = text.replace("*again", AGAIN * 100)
+        text = text.replace("*again", REPEATED_REQUEST * 100)
         for one in expand_range(name):
             first, *more = text.encode().decode("unicode_escape").encode("latin-1").split(b" ~ ")
             await self.send(one, None, first)
             for piece in more:
-                await asyncio.sleep(PIECE_S)
+                await asyncio.sleep(PIECE_DELAY_S)
                 self.put(self.clients[one], piece)
 
     async def send(self, name: str, txn: str | None, data: bytes) -> None:
         if name not in self.clients:
-            host, _, port = self.place.rpartition(":")
+            host, _, port = self.address.rpartition(":")
             reader, self.clients[name] = await asyncio.open_connection(host, int(port))
-            self.waiting[name] = []
+            self.waiting_txns[name] = []
             self.keep = asyncio.create_task(self.client(name, reader, self.clients[name]))
-        self.waiting[name] += [txn] if txn else []
+        self.waiting_txns[name] += [txn] if txn else []
         self.put(self.clients[name], data)
 
     async def do_call(self, name: str, method: str, path: str) -> None:
         await self.do_whisper(name, f"{method} {path} HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n")
 
     async def do_whisper(self, names: str, *rest: str) -> None:
-        """Bytes to the console, on a connection of the caller's own."""
+        """Sends bytes to the console, on a connection per caller."""
         for name in expand_range(names):
             if name not in self.callers:
-                host, _, port = self.door.rpartition(":")
+                host, _, port = self.console.rpartition(":")
                 reader, self.callers[name] = await asyncio.open_connection(host, int(port))
                 self.keep = asyncio.create_task(self.caller(name, reader))
             text = " ".join(rest).replace("*70000", "9" * 70_000).encode().decode("unicode_escape")
             self.put(self.callers[name], text.encode("latin-1"))
 
     async def do_drip(self) -> None:
-        self.drips = True
+        self.byte_by_byte = True
 
     async def do_dead(self, name: str) -> None:
-        self.dead.add(name)
+        self.dead_workers.add(name)
 
     async def do_hangup(self, name: str) -> None:
         self.clients[name].transport.abort()
 
     async def do_say(self, txn: str, word: str, *rest: str) -> None:
-        """A worker's word on a txn; `text`: a line as it stands, `end`: no more, `cut`: the line breaks."""
-        writer, text = self.held[txn], " ".join(rest)
+        """A worker's event on a txn; `text`: a raw line, `end`: end of stream, `cut`: connection reset."""
+        writer, text = self.posting_writers[txn], " ".join(rest)
         if word == "cut":
             writer.transport.abort()
         elif word == "end":
@@ -254,8 +258,12 @@
                 }
             given |= {"share": 0.5} if word == "running" else {}
             line = (text if word == "text" else json.dumps(given)).encode() + b"\n"
-            head = b"" if txn in self.begun else b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            self.begun.add(txn)
+            head = (
+                b""
+                if txn in self.started_streams
+                else b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            )
+            self.started_streams.add(txn)
             last = b"" if word in ("started", "running", "text") else b"0\r\n\r\n"
             self.finished |= {txn} if last else set()
             self.put(writer, head + b"%x\r\n%b\r\n" % (len(line), line) + last)
@@ -264,21 +272,21 @@
         os.kill(os.getpid(), signal.SIGTERM)
 
     async def do_reload(self, *rest: str) -> None:
-        """SIGHUP, with `KEY=VALUE` new in the file: `discovery=anew` another agent, or `torn`."""
+        """SIGHUP after a change of the file; `discovery=anew`: another agent, `torn`: truncated file."""
         for key, _, value in (word.partition("=") for word in rest):
             if value == "anew":
                 self.agents[-1].close()
                 self.watchers.clear()
                 value = await self.agent()
-            self.berth[key] = {"sockets": int(value), "memory_mb": 64} if key == "limits" else value
-        text = json.dumps(self.berth)
+            self.config[key] = {"sockets": int(value), "memory_mb": 64} if key == "limits" else value
+        text = json.dumps(self.config)
         self.file.write_text(text[:100] if "torn" in rest else text)
         os.kill(os.getpid(), signal.SIGHUP)
 
     async def do_file(self, path: str, *rest: str) -> None:
-        """One place of the file is another from the next reload on: JSON, `+ JSON` at its end, `drop`."""
+        """Changes one value of the file for the next reload: JSON, `+ JSON` to append, or `drop`."""
         *steps, last = (int(step) if step.isdigit() else step for step in path.split("."))
-        holder = self.berth
+        holder = self.config
         for step in steps:
             holder = holder[step]
         if rest[0] == "+":
@@ -289,45 +297,45 @@
             holder[last] = json.loads(" ".join(rest))
 
     async def do_fail(self) -> None:
-        """The module fails at its next event."""
-        real = Scheduler.handle
+        """Makes the scheduler raise at its next event."""
+        original = Scheduler.handle
 
         def fail(core: Scheduler, now: float, event) -> None:
-            Scheduler.handle = real
+            Scheduler.handle = original
             raise RuntimeError("told to")
 
         Scheduler.handle = fail
 
     async def do_files(self, left: str) -> None:
-        """So many descriptors are left to the whole process, stubs and all; `all` frees them again."""
-        for number in self.taken:
+        """Leaves so many descriptors to the whole process including stubs; `all` frees them again."""
+        for number in self.held_descriptors:
             os.close(number)
-        self.taken.clear()
+        self.held_descriptors.clear()
         if left == "all":
-            resource.setrlimit(resource.RLIMIT_NOFILE, self.granted)
+            resource.setrlimit(resource.RLIMIT_NOFILE, self.descriptor_limit)
             return
-        resource.setrlimit(resource.RLIMIT_NOFILE, (256, self.granted[1]))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (256, self.descriptor_limit[1]))
         with suppress(OSError):
             while True:
-                self.taken.append(os.dup(0))
-        for number in self.taken[-int(left) :]:
+                self.held_descriptors.append(os.dup(0))
+        for number in self.held_descriptors[-int(left) :]:
             os.close(number)
-        del self.taken[-int(left) :]
+        del self.held_descriptors[-int(left) :]
 
     async def do_wait(self, span: str) -> None:
         await asyncio.sleep(float(span) / 1000.0)
 
     async def until(self, pattern: str, least: int = 1, most: int = 10**9) -> None:
-        hurried = pattern.startswith("now ")
+        immediately = pattern.startswith("now ")
         pattern = pattern.removeprefix("now ")
-        end = asyncio.get_running_loop().time() + (0.0 if hurried else 4.0 if least else 0.15)
+        end = asyncio.get_running_loop().time() + (0.0 if immediately else 4.0 if least else 0.15)
         while asyncio.get_running_loop().time() < end:
-            found = sum(fnmatchcase(told, pattern) for told in self.told)
+            found = sum(fnmatchcase(observed, pattern) for observed in self.observed)
             if least and found >= least:
                 break
             await asyncio.sleep(0.005)
-        found = sum(fnmatchcase(told, pattern) for told in self.told)
-        assert least <= found <= most, f"{found} of {pattern!r} in {self.told}"
+        found = sum(fnmatchcase(observed, pattern) for observed in self.observed)
+        assert least <= found <= most, f"{found} of {pattern!r} in {self.observed}"
 
 
 async def play_sockets(lines: list[tuple[int, str]]) -> None:
