--- a/sableford/rig/__init__.py
+++ b/sableford/rig/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: several real processes of the program among stand-ins, and faults between them. Loopback only."""
+"""Test harness: runs real scheduler processes against stubs and injects faults. Loopback only."""
--- a/sableford/rig/clients.py
+++ b/sableford/rig/clients.py
@@ -1,69 +1,68 @@
-"""The stand-ins of clients and of the front before the schedulers, with every try and answer written into the
-ledger.
+"""Stub clients and the load balancer in front of the schedulers; records every attempt and answer.
 
-It owns when a client comes again, and what it takes for an answer.
+The retry policy of the clients is defined here, and which responses count as final.
 """
 
 import asyncio
 from random import Random
 
 from sableford.rig.hours import Hours
-from sableford.rig.ledger import Ledger, Try
-from sableford.rig.message import Message
+from sableford.rig.http_parser import HttpParser
+from sableford.rig.ledger import Attempt, Ledger
+from sableford.rig.links import Links, StubConnection
 from sableford.rig.plan import Plan, Request
-from sableford.rig.ways import Ways, Wire
 
-PORT = 8000
-PAUSE = 200.0  # ms before a client comes again where the answer names no pause
-REFUSED = 1000.0  # ms for which the front sends nothing to a scheduler that refused a connection
-RESTS = 4.0  # s: a client's connection that rested longer is not used again
-MOST_PAUSE = 5000.0  # ms that a client waits at the longest
+SCHEDULER_PORT = 8000
+DEFAULT_PAUSE_MS = 200.0  # before a retry, if the answer has no Retry-After
+AVOID_MS = 1000.0  # how long the balancer avoids a scheduler that refused a connection
+MAX_IDLE_S = 4.0  # connections that were idle for longer are not reused
+MAX_PAUSE_MS = 5000.0
 
 
-class ClientLine(Wire):
-    """A client's connection to a scheduler: one request at a time."""
+class ClientConnection(StubConnection):
+    """Connection from a client to a scheduler; one request at a time."""
 
-    def __init__(self, ways: Ways, scheduler: str) -> None:
-        super().__init__(ways, "clients", scheduler)
-        self._text = Message()
+    def __init__(self, links: Links, scheduler: str) -> None:
+        super().__init__(links, "clients", scheduler)
+        self._parser = HttpParser()
         self.answer: asyncio.Future | None = None
-        self.open, self.rested = True, 0.0
+        self.open, self.idle_since = True, 0.0
 
     def connection_lost(self, problem: Exception | None) -> None:
         super().connection_lost(problem)
-        self.hear(None)
+        self.on_data(None)
 
-    def hear(self, data: bytes | None) -> None:
+    def on_data(self, data: bytes | None) -> None:
         if data is None:
             self.open = False
-            self._tell(None)
+            self._set_answer(None)
             self.abort()
             return
-        self._text.feed(data)
+        self._parser.feed(data)
         try:
-            if (heard := self._text.next()) is not None:
-                self._tell(heard)
+            if (message := self._parser.next_message()) is not None:
+                self._set_answer(message)
         except (ValueError, IndexError):
-            self.hear(None)
+            self.on_data(None)
 
-    def _tell(self, heard: tuple | None) -> None:
+    def _set_answer(self, message: tuple | None) -> None:
         if self.answer is not None and not self.answer.done():
-            self.answer.set_result(heard)
-
-
-class Crowd:
-    """The clients and the front before the schedulers. Open loop: each request is sent when it is due."""
-
-    def __init__(self, plan: Plan, ways: Ways, ledger: Ledger, hours: Hours, places: dict[str, str]) -> None:
-        self.plan, self.ways, self.ledger, self.hours = plan, ways, ledger, hours
-        self.places = places  # of each scheduler: its host
-        self._rest: dict[str, list[ClientLine]] = {name: [] for name in places}
-        self._shunned: dict[str, float] = {}
-        self._draw = Random(f"front {plan.seed}")
-        self.outcomes: dict[int, tuple[float, float]] = {}  # by request: due, and when it was served
-        self.refused: list[float] = []
-        self.late = 0.0  # the rig's own, ms
-        self.asked = 0  # requests so far
+            self.answer.set_result(message)
+
+
+class Clients:
+    """The clients and their load balancer. Open loop: each request is sent when it is due."""
+
+    def __init__(self, plan: Plan, links: Links, ledger: Ledger, hours: Hours, hosts: dict[str, str]) -> None:
+        self.plan, self.links, self.ledger, self.hours = plan, links, ledger, hours
+        self.hosts = hosts  # scheduler name -> host
+        self._idle: dict[str, list[ClientConnection]] = {name: [] for name in hosts}
+        self._avoided_until: dict[str, float] = {}
+        self._random = Random(f"front {plan.seed}")
+        self.outcomes: dict[int, tuple[float, float]] = {}  # request number -> (due, served at)
+        self.refusals: list[float] = []
+        self.late = 0.0  # how late the rig itself sent a request, at most; ms
+        self.asked = 0  # requests sent so far
         self._stopped = False
         self._tasks: set[asyncio.Task] = set()
 
@@ -76,90 +75,98 @@
                 return
             self.asked += 1
             self.late = max(self.late, self.hours.now() - request.due)
-            task = asyncio.create_task(self._ask(request))
+            task = asyncio.create_task(self._send_request(request))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """No request after this."""
+        """Sends no further requests."""
         self._stopped = True
 
     async def end(self) -> None:
-        """All that was asked has its answer, or will have none."""
-        limit = max(scheme.expiry_ms for scheme in self.plan.scheme) + MOST_PAUSE
+        """Waits for the answers of all requests, up to the longest expiry, and cancels the rest."""
+        limit = max(scheme.expiry_ms for scheme in self.plan.scheme) + MAX_PAUSE_MS
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=limit / 1000.0)
         for task in self._tasks:
             task.cancel()
 
-    def _front(self) -> str:
+    def _choose_scheduler(self) -> str:
         now = self.hours.now()
-        up = [name for name in self.places if self._shunned.get(name, -1.0) < now]
-        return self._draw.choice(up or list(self.places))
+        reachable = [name for name in self.hosts if self._avoided_until.get(name, -1.0) < now]
+        return self._random.choice(reachable or list(self.hosts))
 
-    async def _ask(self, request: Request) -> None:
-        for number in range(1 + self.plan.load.retries):
-            status, pause = await self._try(request, number)
+    async def _send_request(self, request: Request) -> None:
+        for attempt_number in range(1 + self.plan.load.retries):
+            status, pause = await self._send_attempt(request, attempt_number)
             if status == 200:
                 self.outcomes[request.number] = request.due, self.hours.now()
                 return
             if status in (429, 503):
-                self.refused.append(self.hours.now())
-            elif status:  # reversed: it may have run, and a client can't know
+                self.refusals.append(self.hours.now())
+            elif status:  # failed: it may have run, so a retry isn't safe
                 return
-            await asyncio.sleep(min(MOST_PAUSE, pause) / 1000.0)
-
-    async def _line(self, scheduler: str) -> ClientLine | None:
-        rest = self._rest[scheduler]
-        while rest:
-            line = rest.pop()
-            if line.open and asyncio.get_running_loop().time() - line.rested < RESTS:
-                return line
-            line.abort()
+            await asyncio.sleep(min(MAX_PAUSE_MS, pause) / 1000.0)
+
+    async def _connect(self, scheduler: str) -> ClientConnection | None:
+        idle = self._idle[scheduler]
+        while idle:
+            connection = idle.pop()
+            if connection.open and asyncio.get_running_loop().time() - connection.idle_since < MAX_IDLE_S:
+                return connection
+            connection.abort()
         try:
             async with asyncio.timeout(1.0):
-                _, line = await asyncio.get_running_loop().create_connection(
-                    lambda: ClientLine(self.ways, scheduler), self.places[scheduler], PORT
+                _, connection = await asyncio.get_running_loop().create_connection(
+                    lambda: ClientConnection(self.links, scheduler), self.hosts[scheduler], SCHEDULER_PORT
                 )
-            return line
+            return connection
         except OSError:
-            self._shunned[scheduler] = self.hours.now() + REFUSED
+            self._avoided_until[scheduler] = self.hours.now() + AVOID_MS
             return None
 
-    async def _try(self, request: Request, number: int) -> tuple[int, float]:
-        """The answer's status, 0 where none came, and how long to wait before the next try."""
-        scheduler, scheme = self._front(), self.plan.scheme[request.scheme]
-        if (line := await self._line(scheduler)) is None:
+    async def _send_attempt(self, request: Request, attempt_number: int) -> tuple[int, float]:
+        """Returns the status, 0 for no answer, and the pause in ms before the next attempt."""
+        scheduler, scheme = self._choose_scheduler(), self.plan.scheme[request.scheme]
+        if (connection := await self._connect(scheduler)) is None:
             return 0, 0.0
-        left = min(self.plan.load.time_left_ms, scheme.expiry_ms)
-        tried = Try(
-            f"r{request.number}.{number}", request.number, scheduler, request.scheme, self.hours.now(), left
+        time_left = min(self.plan.load.time_left_ms, scheme.expiry_ms)
+        attempt = Attempt(
+            f"r{request.number}.{attempt_number}",
+            request.number,
+            scheduler,
+            request.scheme,
+            self.hours.now(),
+            time_left,
         )
-        self.ledger.sent(tried)
-        head = f"POST /api HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {tried.id}\r\n"
-        head += f"X-Service-Class: {scheme.name}\r\nX-Time-Left: {left:.0f}m\r\n"
-        head += "X-Repeat: 1\r\n" if number else ""
-        line.answer = asyncio.get_running_loop().create_future()
-        line.say(f"{head}Content-Length: 2\r\n\r\nhi".encode())
+        self.ledger.record_attempt(attempt)
+        head = f"POST /api HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {attempt.id}\r\n"
+        head += f"X-Service-Class: {scheme.name}\r\nX-Time-Left: {time_left:.0f}m\r\n"
+        head += "X-Repeat: 1\r\n" if attempt_number else ""
+        connection.answer = asyncio.get_running_loop().create_future()
+        connection.send(f"{head}Content-Length: 2\r\n\r\nhi".encode())
         try:
-            async with asyncio.timeout(left / 1000.0 + 1.0):
-                heard = await line.answer
+            async with asyncio.timeout(time_left / 1000.0 + 1.0):
+                message = await connection.answer
         except TimeoutError:
-            line.abort()
-            return 0, PAUSE
-        if heard is None:
-            self.ledger.unheard[tried.id] = self.hours.now()
-            return 0, PAUSE
-        first, headers, body = heard
+            connection.abort()
+            return 0, DEFAULT_PAUSE_MS
+        if message is None:
+            self.ledger.closed_unanswered[attempt.id] = self.hours.now()
+            return 0, DEFAULT_PAUSE_MS
+        start_line, headers, body = message
         try:
-            status, pause = int(first.split()[1]), float(headers.get(b"retry-after", PAUSE / 1000.0)) * 1000.0
-        except (ValueError, IndexError):  # bytes changed on the way
-            line.abort()
-            return 0, PAUSE
-        self.ledger.answered(tried.id, self.hours.now(), status, body)
+            status, pause = (
+                int(start_line.split()[1]),
+                float(headers.get(b"retry-after", DEFAULT_PAUSE_MS / 1000.0)) * 1000.0,
+            )
+        except (ValueError, IndexError):  # corrupted by an injected fault
+            connection.abort()
+            return 0, DEFAULT_PAUSE_MS
+        self.ledger.record_answer(attempt.id, self.hours.now(), status, body)
         if headers.get(b"connection", b"").lower() == b"close":
-            line.abort()
+            connection.abort()
         else:
-            line.rested = asyncio.get_running_loop().time()
-            self._rest[scheduler].append(line)
+            connection.idle_since = asyncio.get_running_loop().time()
+            self._idle[scheduler].append(connection)
         return status, pause
--- a/sableford/rig/disk.py
+++ b/sableford/rig/disk.py
@@ -1,7 +1,6 @@
-"""A disk that lies, in place of the record's own: laid under a process by the rig's launcher, never by a
-start.
+"""A disk with injected faults, which the rig's launcher puts in place of the real one.
 
-It owns the lies. All but `flipped` and `eio` at reading show only once the process was killed.
+The loss in `lost` and `torn` shows only after the process was killed; the other faults show while it runs.
 """
 
 import errno
@@ -12,65 +11,73 @@
 from sableford.consensus.file_disk import RealDisk
 from sableford.rig.plan import HUNG
 
-SLOW = 5.0  # s a flush takes
+SLOW_FLUSH_S = 5.0
 HANGS = ".now"
-LOOK = 0.02  # s between two looks whether a hung disk is to go on
-ONCE = 3  # the flush that fails
-BEHIND = 4  # flushes of which nothing has reached the disk yet
+HUNG_POLL_S = 0.02  # how often a hung flush checks whether to go on
+FAILING_FLUSH = 3  # of the fault `once`
+LOST_APPENDS = 4  # appends that the fault `lost` holds back
 
 
-class LyingDisk(RealDisk):
-    """`lie`: lost (what the last flushes promised is not there), torn (of the last flush only a part),
-    flipped (a bit of the log is another when it is read), eio (nothing can be appended), full (nor written
-    at all), once (one flush fails), slow, hung (no flush comes back before the file `hung` beside the folder
-    is removed; `hung.now` tells that one was asked for)."""
+class FaultyDisk(RealDisk):
+    """RealDisk with one fault.
 
-    def __init__(self, lie: str, seed: int, folder: Path) -> None:
+    lost: the data of the last flushes is missing although they succeeded.
+    torn: only part of the last flush is on the disk.
+    flipped: one bit of a log differs when it is read.
+    eio: appending fails.
+    full: appending and writing fail.
+    once: one flush fails.
+    slow: each flush takes SLOW_FLUSH_S.
+    hung: flushes block until the file `hung` beside the folder is removed; the file `hung.now` appears as
+        soon as one blocks.
+    """
+
+    def __init__(self, fault: str, seed: int, folder: Path) -> None:
         super().__init__(folder)
-        self._hung = folder.parent / HUNG
-        self._lie, self._draw, self._flushes = lie, Random(f"{lie} {seed}"), 0
-        self._held: list[tuple[str, bytes]] = []  # promised, and not on the disk
+        self._hung_file = folder.parent / HUNG
+        self._fault, self._random, self._flushes = fault, Random(f"{fault} {seed}"), 0
+        self._unwritten: list[tuple[str, bytes]] = []  # acknowledged, not yet on the disk
 
     def read(self, name: str) -> bytes:
         data = super().read(name)
-        if self._lie == "flipped" and name.startswith("log-") and len(data) > 400:
-            at = self._draw.randrange(200, len(data) - 20)
-            data = data[:at] + bytes([data[at] ^ 16]) + data[at + 1 :]
+        if self._fault == "flipped" and name.startswith("log-") and len(data) > 400:
+            offset = self._random.randrange(200, len(data) - 20)
+            data = data[:offset] + bytes([data[offset] ^ 16]) + data[offset + 1 :]
         return data
 
     def append(self, name: str, data: bytes) -> None:
-        if self._lie in ("eio", "full"):
-            raise OSError(errno.EIO if self._lie == "eio" else errno.ENOSPC, f"{self._lie}, by the rig")
-        if self._lie in ("lost", "torn"):
-            self._held.append((name, data))
+        if self._fault in ("eio", "full"):
+            raise OSError(errno.EIO if self._fault == "eio" else errno.ENOSPC, f"{self._fault}, by the rig")
+        if self._fault in ("lost", "torn"):
+            self._unwritten.append((name, data))
         else:
             super().append(name, data)
 
     def sync(self, name: str) -> None:
         self._flushes += 1
-        if self._lie == "slow":
-            time.sleep(SLOW)
-        while self._lie == HUNG and self._hung.exists():
-            self._hung.with_suffix(HANGS).touch()
-            time.sleep(LOOK)
-        if self._lie == "once" and self._flushes == ONCE:
+        if self._fault == "slow":
+            time.sleep(SLOW_FLUSH_S)
+        while self._fault == HUNG and self._hung_file.exists():
+            self._hung_file.with_suffix(HANGS).touch()
+            time.sleep(HUNG_POLL_S)
+        if self._fault == "once" and self._flushes == FAILING_FLUSH:
             raise OSError(errno.EIO, "once, by the rig")
-        while len(self._held) > (BEHIND if self._lie == "lost" else 1):
-            super().append(*self._held.pop(0))
-        if self._lie == "torn" and self._held:
-            name, data = self._held[0]
+        while len(self._unwritten) > (LOST_APPENDS if self._fault == "lost" else 1):
+            super().append(*self._unwritten.pop(0))
+        if self._fault == "torn" and self._unwritten:
+            name, data = self._unwritten[0]
             half = data[: len(data) // 2]
-            self._held[0] = name, data[len(half) :]
+            self._unwritten[0] = name, data[len(half) :]
             super().append(name, half)
-        elif not self._held:
+        elif not self._unwritten:
             super().sync(name)
 
     def write(self, name: str, data: bytes) -> None:
-        if self._lie == "full":
+        if self._fault == "full":
             raise OSError(errno.ENOSPC, "full, by the rig")
-        self._held = [held for held in self._held if held[0] != name]
+        self._unwritten = [entry for entry in self._unwritten if entry[0] != name]
         super().write(name, data)
 
     def remove(self, name: str) -> None:
-        self._held = [held for held in self._held if held[0] != name]
+        self._unwritten = [entry for entry in self._unwritten if entry[0] != name]
         super().remove(name)
--- a/sableford/rig/hours.py
+++ b/sableford/rig/hours.py
@@ -1,10 +1,10 @@
-"""The clock of a run."""
+"""Clock of a run."""
 
 import asyncio
 
 
 class Hours:
-    """The run's clock: ms from the start of the load."""
+    """Milliseconds since the start of the load."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
--- a/sableford/rig/launch.py
+++ b/sableford/rig/launch.py
@@ -1,7 +1,8 @@
-"""One scheduler process as the rig starts it: `python -m sableford.rig.launch serve ...`.
+"""Entry point of a scheduler process with injected faults: `python -m sableford.rig.launch serve ...`.
 
-It owns what the rig lays under a process: a clock that is off, a disk that lies. RIG names both, as JSON:
-{"clock_ms": 30000, "disk": "torn", "seed": 7}. An ordinary start has neither and can't ask for them.
+The environment variable RIG names a clock offset and a disk fault as JSON:
+{"clock_ms": 30000, "disk": "torn", "seed": 7}. The normal entry point doesn't read it, so that a production
+process can't be given such a fault.
 """
 
 import os
@@ -10,29 +11,29 @@
 import msgspec
 
 
-class Laid(msgspec.Struct, forbid_unknown_fields=True):
+class InjectedFaults(msgspec.Struct, forbid_unknown_fields=True):
     clock_ms: float = 0.0
     disk: str = ""
     seed: int = 0
 
 
-def laid() -> Laid:
-    return msgspec.json.decode(os.environ.get("RIG", "{}"), type=Laid)
+def injected_faults() -> InjectedFaults:
+    return msgspec.json.decode(os.environ.get("RIG", "{}"), type=InjectedFaults)
 
 
 def main() -> None:
-    given = laid()
-    if given.clock_ms:
-        real, off = time.time, given.clock_ms / 1000.0
-        time.time = lambda: real() + off
-    if given.disk:
+    faults = injected_faults()
+    if faults.clock_ms:
+        system_time, offset_s = time.time, faults.clock_ms / 1000.0
+        time.time = lambda: system_time() + offset_s
+    if faults.disk:
         from sableford.consensus import file_disk as disk
-        from sableford.rig.disk import LyingDisk
+        from sableford.rig.disk import FaultyDisk
 
-        disk.open_disk = lambda folder: LyingDisk(given.disk, given.seed, folder)
-    from sableford.net.cli import main as program
+        disk.open_disk = lambda folder: FaultyDisk(faults.disk, faults.seed, folder)
+    from sableford.net.cli import main as scheduler_main
 
-    program()
+    scheduler_main()
 
 
 if __name__ == "__main__":
--- a/sableford/rig/ledger.py
+++ b/sableford/rig/ledger.py
@@ -1,19 +1,20 @@
-"""The world's account of a run, and what it says of the four rules.
+"""History of a run as the stubs observed it, and the check of four rules against it.
 
-It owns what workers ran, what clients were answered, what each scheduler was told and when each process
-lived. It must never take a scheduler's word for anything. Times are ms from the start of the load.
+It records what workers ran, what clients were answered, what each scheduler was told about the workers, and
+when each process was unavailable. Nothing that a scheduler reports about itself is used, so that a faulty
+scheduler can't hide a violation. Times are ms since the start of the load.
 """
 
 from bisect import bisect_right
 from collections import defaultdict
 from typing import NamedTuple
 
-SLACK = 300.0  # ms: the way, the answer's write, and what a busy machine adds
+TOLERANCE_MS = 300.0  # allowance for delivery, writing the answer, and delays of a busy machine
 RUNS_ONCE, RUNS_IN_GROUP = "unsafe", "keyed"
 
 
-class Wrong(NamedTuple):
-    """A rule broken: when, which, and the txn or worker it is about."""
+class Violation(NamedTuple):
+    """A broken rule: when, which, and the txn or worker concerned. Field names are keys of `rig run --json`."""
 
     at: float
     rule: str
@@ -21,19 +22,19 @@
     said: str
 
 
-class Try(NamedTuple):
-    """One txn as a client sent it."""
+class Attempt(NamedTuple):
+    """One attempt of a request; it has a txn id of its own."""
 
     id: str
-    request: int  # the request it is a try of
+    request: int
     scheduler: str
     scheme: int
     at: float
-    left: float
+    time_left: float
 
 
 class Run(NamedTuple):
-    """A posting: `at` it left its scheduler, or began to run where it stands among the runs."""
+    """A txn at a worker. `at`: when its scheduler sent it (in `posts`), or when it started (in `runs`)."""
 
     id: str
     worker: str
@@ -43,120 +44,150 @@
 
 class Ledger:
     def __init__(self, effects: list[str], grace: float) -> None:
-        """`effects`: each scheme's; `grace`: ms for which a worker may still get something new once a
-        scheduler was told otherwise."""
+        """`effects`: the effect of each scheme. `grace`: ms for which a worker may still receive new txns
+        after the scheduler was told to stop sending to it."""
         self.effects, self.grace = effects, grace
-        self.tries: dict[str, Try] = {}
+        self.tries: dict[str, Attempt] = {}
         self.answers: dict[str, list[tuple[float, int, bytes]]] = defaultdict(list)
-        self.unheard: dict[str, float] = {}  # the connection ended with no answer
-        self.arrived: list[Run] = []
+        self.closed_unanswered: dict[str, float] = {}  # txn -> when the connection ended without an answer
+        self.posts: list[Run] = []
         self.runs: dict[str, list[Run]] = defaultdict(list)
         self.results: dict[str, set[bytes]] = defaultdict(set)
-        self.told: dict[tuple[str, str], list[tuple[float, bool]]] = defaultdict(list)  # may it be sent to
-        self.away: dict[str, list[tuple[float, float, str]]] = defaultdict(list)  # processes: from, to, why
-        self.apart: list[tuple[float, float]] = []  # a fault lay on the clients' way
-        self.fallen: list[tuple[float, str, float]] = []  # cold workers pushed over, by how many times
-        self.story: list[tuple[float, str, str]] = []  # what else happened: when, to whom, what
-
-    # What is written down
-
-    def sent(self, tried: Try) -> None:
-        self.tries[tried.id] = tried
-
-    def answered(self, txn: str, at: float, status: int, body: bytes) -> None:
+        self.sendable: dict[tuple[str, str], list[tuple[float, bool]]] = defaultdict(
+            list
+        )  # may the scheduler send to it?
+        self.unavailable: dict[str, list[tuple[float, float, str]]] = defaultdict(
+            list
+        )  # process -> (start, end, reason)
+        self.client_link_faults: list[tuple[float, float]] = []  # faults on links of the clients
+        self.overloads: list[tuple[float, str, float]] = []  # at, worker, by which factor
+        self.events: list[tuple[float, str, str]] = []  # at, subject, text
+
+    # Recording
+
+    def record_attempt(self, attempt: Attempt) -> None:
+        self.tries[attempt.id] = attempt
+
+    def record_answer(self, txn: str, at: float, status: int, body: bytes) -> None:
         self.answers[txn].append((at, status, body))
 
-    def got(self, run: Run) -> None:
-        self.arrived.append(run)
+    def record_post(self, run: Run) -> None:
+        self.posts.append(run)
 
-    def began(self, run: Run) -> None:
+    def record_start(self, run: Run) -> None:
         self.runs[run.id].append(run)
 
-    def done(self, txn: str, result: bytes) -> None:
+    def record_result(self, txn: str, result: bytes) -> None:
         self.results[txn].add(result)
 
-    def may_send(self, scheduler: str, worker: str, at: float, may: bool) -> None:
-        self.told[scheduler, worker].append((at, may))
+    def record_sendable(self, scheduler: str, worker: str, at: float, may: bool) -> None:
+        self.sendable[scheduler, worker].append((at, may))
 
-    def gone(self, process: str, start: float, end: float, why: str) -> None:
-        self.away[process].append((start, end, why))
+    def record_unavailable(self, process: str, start: float, end: float, reason: str) -> None:
+        self.unavailable[process].append((start, end, reason))
 
-    def say(self, at: float, who: str, what: str) -> None:
-        self.story.append((at, who, what))
+    def say(self, at: float, subject: str, text: str) -> None:
+        self.events.append((at, subject, text))
 
-    # The verdict
+    # Checks
 
-    def wrongs(self) -> list[Wrong]:
-        """Every rule broken, in order of time."""
-        found = [*self._answers(), *self._repeats(), *self._drains(), *self._forged()]
-        found += [
-            Wrong(at, "4 cold", worker, f"pushed over at {times:.1f} times what it could do")
-            for at, worker, times in self.fallen
+    def violations(self) -> list[Violation]:
+        """All violations of the rules, ordered by time."""
+        violations = [
+            *self._check_answers(),
+            *self._check_repeats(),
+            *self._check_drains(),
+            *self._check_results(),
         ]
-        return sorted(found)
+        violations += [
+            Violation(at, "4 cold", worker, f"overloaded to {factor:.1f} times its capacity")
+            for at, worker, factor in self.overloads
+        ]
+        return sorted(violations)
 
-    def _was_away(self, process: str, start: float, end: float) -> bool:
-        return any(begin <= end and start <= until for begin, until, _ in self.away[process])
+    def _was_unavailable(self, process: str, start: float, end: float) -> bool:
+        return any(begin <= end and start <= until for begin, until, _ in self.unavailable[process])
 
-    def _answers(self) -> list[Wrong]:
-        found = []
-        for txn, tried in self.tries.items():
-            answers, expiry = self.answers[txn], tried.at + tried.left
+    def _check_answers(self) -> list[Violation]:
+        violations = []
+        for txn, attempt in self.tries.items():
+            answers, expiry = self.answers[txn], attempt.at + attempt.time_left
             if len(answers) > 1:
-                found.append(Wrong(answers[1][0], "1 answer", txn, f"{len(answers)} answers"))
-            out = self._was_away(tried.scheduler, tried.at, expiry)
-            crossed = any(start <= expiry + SLACK and tried.at <= end for start, end in self.apart)
-            if out or crossed:
+                violations.append(Violation(answers[1][0], "1 answer", txn, f"{len(answers)} answers"))
+            scheduler_unavailable = self._was_unavailable(attempt.scheduler, attempt.at, expiry)
+            link_fault = any(
+                start <= expiry + TOLERANCE_MS and attempt.at <= end for start, end in self.client_link_faults
+            )
+            if scheduler_unavailable or link_fault:
                 continue
-            if not answers and txn in self.unheard and self.runs[txn]:
-                found.append(Wrong(self.unheard[txn], "1 answer", txn, "taken, then the connection ended"))
-            elif not answers and txn not in self.unheard:
-                found.append(Wrong(expiry, "1 answer", txn, "none"))
-            elif answers and answers[0][0] > expiry + SLACK:
-                found.append(Wrong(answers[0][0], "1 answer", txn, f"{answers[0][0] - expiry:.0f} ms late"))
-        for run in self.arrived:
-            given = self.answers.get(run.id)
-            if given and run.at > given[0][0] + SLACK and not self.apart:
-                found.append(Wrong(run.at, "1 answer", run.id, f"sent to {run.worker} after its answer"))
-        return found
-
-    def _repeats(self) -> list[Wrong]:
-        found = []
+            if not answers and txn in self.closed_unanswered and self.runs[txn]:
+                violations.append(
+                    Violation(
+                        self.closed_unanswered[txn],
+                        "1 answer",
+                        txn,
+                        "accepted, then the connection ended without an answer",
+                    )
+                )
+            elif not answers and txn not in self.closed_unanswered:
+                violations.append(Violation(expiry, "1 answer", txn, "none"))
+            elif answers and answers[0][0] > expiry + TOLERANCE_MS:
+                violations.append(
+                    Violation(answers[0][0], "1 answer", txn, f"{answers[0][0] - expiry:.0f} ms late")
+                )
+        for run in self.posts:
+            received = self.answers.get(run.id)
+            if received and run.at > received[0][0] + TOLERANCE_MS and not self.client_link_faults:
+                violations.append(
+                    Violation(run.at, "1 answer", run.id, f"sent to {run.worker} after its answer")
+                )
+        return violations
+
+    def _check_repeats(self) -> list[Violation]:
+        violations = []
         for txn, runs in self.runs.items():
-            tried = self.tries.get(txn)
-            if tried is None:
-                found.append(Wrong(runs[0].at, "2 twice", txn, "no client sent it"))
-            elif self.effects[tried.scheme] == RUNS_ONCE:
+            attempt = self.tries.get(txn)
+            if attempt is None:
+                violations.append(Violation(runs[0].at, "2 twice", txn, "not sent by any client"))
+            elif self.effects[attempt.scheme] == RUNS_ONCE:
                 if len(runs) > 1:
-                    found.append(
-                        Wrong(runs[1].at, "2 twice", txn, f"ran at {' and '.join(r.worker for r in runs)}")
+                    violations.append(
+                        Violation(
+                            runs[1].at, "2 twice", txn, f"ran at {' and '.join(r.worker for r in runs)}"
+                        )
                     )
                 for at, status, _ in self.answers[txn]:
                     if status in (429, 503):
-                        found.append(Wrong(at, "2 twice", txn, f"declined, and {runs[0].worker} ran it"))
-        return found
-
-    def _drains(self) -> list[Wrong]:
-        found = []
-        for run in self.arrived:
-            told = self.told.get((run.scheduler, run.worker), [])
-            at = bisect_right(told, (run.at, True))
-            if not at or told[at - 1][1]:
+                        violations.append(
+                            Violation(at, "2 twice", txn, f"declined, and {runs[0].worker} ran it")
+                        )
+        return violations
+
+    def _check_drains(self) -> list[Violation]:
+        violations = []
+        for run in self.posts:
+            sendable = self.sendable.get((run.scheduler, run.worker), [])
+            at = bisect_right(sendable, (run.at, True))
+            if not at or sendable[at - 1][1]:
                 continue
-            # Told again and again to send nothing: from the first time on.
+            # The grace period runs from the first of several consecutive notices to stop sending.
             since = at - 1
-            while since and not told[since - 1][1]:
+            while since and not sendable[since - 1][1]:
                 since -= 1
-            past = run.at - told[since][0]
-            if past > self.grace + SLACK and not self._was_away(run.scheduler, told[since][0], run.at):
-                found.append(
-                    Wrong(run.at, "3 drain", run.id, f"{run.worker} got it {past:.0f} ms after the word")
+            elapsed = run.at - sendable[since][0]
+            if elapsed > self.grace + TOLERANCE_MS and not self._was_unavailable(
+                run.scheduler, sendable[since][0], run.at
+            ):
+                violations.append(
+                    Violation(
+                        run.at, "3 drain", run.id, f"{run.worker} got it {elapsed:.0f} ms after the notice"
+                    )
                 )
-        return found
+        return violations
 
-    def _forged(self) -> list[Wrong]:
+    def _check_results(self) -> list[Violation]:
         return [
-            Wrong(at, "1 answer", txn, "settled with what no worker made")
+            Violation(at, "1 answer", txn, "answered with a result that no worker returned")
             for txn, answers in self.answers.items()
             for at, status, body in answers
             if status == 200 and body not in self.results[txn]
--- a/sableford/rig/nodes.py
+++ b/sableford/rig/nodes.py
@@ -1,6 +1,6 @@
-"""The scheduler processes of a run: started, killed, stopped, started again on this or another folder.
+"""The scheduler processes of a run: starts, kills, suspends and restarts them, also with another data folder.
 
-It owns the processes that it started, by their ids, and their folders and logs. It must never end any other.
+Signals go only to processes that were started here.
 """
 
 import asyncio
@@ -16,35 +16,44 @@
 from sableford.rig.hours import Hours
 from sableford.rig.ledger import Ledger
 
-READY_IN = 20.0  # s for a scheduler to take clients: a slow disk may hold a start up for some calls
-ENDS_IN = 6.0  # s for one to end after SIGTERM; then it is killed
-COPIES = 2.0  # s between two copies of every folder, for one that is given an old one
+READY_TIMEOUT_S = (
+    20.0  # until it takes clients; with the `slow` disk fault a start takes several slow flushes
+)
+ENDS_IN = 6.0  # s from SIGTERM to SIGKILL
+COPY_INTERVAL_S = 2.0  # between attempts to copy the data folders, for restarts with `folder = "older"`
 
 
 class Node:
-    def __init__(self, name: str, root: Path, berth: dict, ledger: Ledger, hours: Hours) -> None:
-        self.name, self._berth, self._ledger, self._hours = name, berth, ledger, hours
+    """One scheduler process, its data folder and its log."""
+
+    def __init__(self, name: str, root: Path, config: dict, ledger: Ledger, hours: Hours) -> None:
+        self.name, self._config, self._ledger, self._hours = name, config, ledger, hours
         self.home = root / name
         self.folder, self.old = self.home / "folder", self.home / "old"
         self.folder.mkdir(parents=True)
-        self.file, self.log = self.home / "berth.json", self.home / "log"
+        self.config_file, self.log = self.home / "berth.json", self.home / "log"
         self.process: asyncio.subprocess.Process | None = None
-        self.laid: dict = {}
-        self.away_from: float | None = None
-        self.codes: list[int] = []  # with which it ended where nobody ended it
-        self._ending = False
-        self.down = self.stopped = 0  # faults that hold it so; the last to go lets it up
+        self.injected_faults: dict = {}
+        self.unavailable_since: float | None = None
+        # Exit codes of ends that the rig didn't cause; -1: still running ENDS_IN after SIGTERM.
+        self.unexpected_exit_codes: list[int] = []
+        self._end_expected = False
+        # Active faults of each kind: the process comes up again when the last one ends.
+        self.down_faults = self.suspend_faults = 0
 
     async def start(self, known: dict) -> None:
-        """Its list is the one that the service would give now; returns once it takes clients."""
-        self.file.write_bytes(msgspec.json.encode(self._berth | {"known": known}))
-        env = os.environ | {"TMPDIR": str(self.folder), "RIG": msgspec.json.encode(self.laid).decode()}
+        """Starts the process with `known` as its worker list; returns once it takes clients."""
+        self.config_file.write_bytes(msgspec.json.encode(self._config | {"known": known}))
+        env = os.environ | {
+            "TMPDIR": str(self.folder),
+            "RIG": msgspec.json.encode(self.injected_faults).decode(),
+        }
         env["PYTHONFAULTHANDLER"] = "1"
         flags = [
-            flag for flag, field in (("--talk", "peers"), ("--fleet", "fleet")) if self._berth.get(field)
+            flag for flag, field in (("--talk", "peers"), ("--fleet", "fleet")) if self._config.get(field)
         ]
-        flags += ["--config", str(self.file)]
-        module = "sableford.rig.launch" if self.laid else "sableford"
+        flags += ["--config", str(self.config_file)]
+        module = "sableford.rig.launch" if self.injected_faults else "sableford"
         with self.log.open("ab") as log, (self.home / "errors").open("ab") as errors:
             self.process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-B", "-m", module, "serve", "--each-txn", *flags),
@@ -52,29 +61,29 @@
                 stdout=log,
                 stderr=errors,
             )
-        self._ending = False
-        self._watch = asyncio.create_task(self._wait(self.process))
-        host, _, port = self._berth["listen"].rpartition(":")
-        async with asyncio.timeout(READY_IN):
+        self._end_expected = False
+        self._watcher = asyncio.create_task(self._watch_process(self.process))
+        host, _, port = self._config["listen"].rpartition(":")
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while self.process.returncode is None:
                 with suppress(OSError):
                     reader, writer = await asyncio.open_connection(host, int(port))
                     writer.write(b"GET /ready HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n")
-                    said = await reader.readline()
+                    status_line = await reader.readline()
                     writer.close()
-                    if b" 200 " in said:
+                    if b" 200 " in status_line:
                         break
                 await asyncio.sleep(0.02)
-        if self.away_from is not None:
-            self._ledger.gone(self.name, self.away_from, self._hours.now(), "away")
-            self.away_from = None
+        if self.unavailable_since is not None:
+            self._ledger.record_unavailable(self.name, self.unavailable_since, self._hours.now(), "away")
+            self.unavailable_since = None
         self._ledger.say(self._hours.now(), self.name, f"takes clients, process {self.process.pid}")
 
-    async def _wait(self, process: asyncio.subprocess.Process) -> None:
+    async def _watch_process(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        if not self._ending:
-            self.codes.append(code)
-            self.away_from = self._hours.now()
+        if not self._end_expected:
+            self.unexpected_exit_codes.append(code)
+            self.unavailable_since = self._hours.now()
             self._ledger.say(self._hours.now(), self.name, f"ended by itself with {code}")
 
     def lives(self) -> bool:
@@ -82,53 +91,58 @@
 
     async def kill(self) -> None:
         if self.lives():
-            self._ending, self.away_from = True, self._hours.now()
+            self._end_expected, self.unavailable_since = True, self._hours.now()
             self._ledger.say(self._hours.now(), self.name, "SIGKILL")
             self.process.kill()
             await self.process.wait()
 
-    async def term(self) -> None:
-        """SIGTERM: what it has taken it still owes; only what comes once it has ended is nobody's."""
+    async def terminate(self) -> None:
+        """Sends SIGTERM. Requests accepted before its end must still be answered, so it counts as unavailable
+        only from its end on."""
         if self.lives():
-            self._ending = True
+            self._end_expected = True
             self._ledger.say(self._hours.now(), self.name, "SIGTERM")
             self.process.send_signal(signal.SIGTERM)
             try:
                 async with asyncio.timeout(ENDS_IN):
                     await self.process.wait()
             except TimeoutError:
-                self.codes.append(-1)
+                self.unexpected_exit_codes.append(-1)
                 self._ledger.say(self._hours.now(), self.name, "did not end")
                 self.process.kill()
                 await self.process.wait()
-            self.away_from = self._hours.now()
+            self.unavailable_since = self._hours.now()
 
-    def stop(self) -> None:
+    def suspend(self) -> None:
         if self.lives():
-            self.away_from = self._hours.now()
+            self.unavailable_since = self._hours.now()
             self._ledger.say(self._hours.now(), self.name, "SIGSTOP")
             self.process.send_signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
-        if self.lives() and self.away_from is not None:  # else killed and started again meanwhile
+    def resume(self) -> None:
+        if (
+            self.lives() and self.unavailable_since is not None
+        ):  # false if it was killed and restarted meanwhile
             self.process.send_signal(signal.SIGCONT)
             self._ledger.say(self._hours.now(), self.name, "SIGCONT")
-            # What lay in its sockets meanwhile is late by as much.
-            self._ledger.gone(self.name, self.away_from, self._hours.now() + 1000.0, "stopped")
-            self.away_from = None
+            # Data that arrived while it was suspended is read late: 1000 ms to catch up.
+            self._ledger.record_unavailable(
+                self.name, self.unavailable_since, self._hours.now() + 1000.0, "stopped"
+            )
+            self.unavailable_since = None
 
-    # Its folder, while it is dead
+    # Its data folder
 
-    def copy(self) -> None:
-        """A moment of its folder, to be given back as an old one; a file that goes meanwhile is left out."""
-        fresh = self.home / "copying"
-        shutil.rmtree(fresh, ignore_errors=True)
+    def copy_folder(self) -> None:
+        """Copies the folder once, for a later restart with older data. Files removed meanwhile are skipped."""
+        partial_copy = self.home / "copying"
+        shutil.rmtree(partial_copy, ignore_errors=True)
         with suppress(shutil.Error, OSError):
-            shutil.copytree(self.folder, fresh)
-        if not self.old.exists() and fresh.exists():
-            fresh.rename(self.old)
+            shutil.copytree(self.folder, partial_copy)
+        if not self.old.exists() and partial_copy.exists():
+            partial_copy.rename(self.old)
 
-    def find(self, what: str, other: "Node | None") -> None:
+    def replace_folder(self, what: str, other: "Node | None") -> None:
         if what == "same":
             return
         shutil.rmtree(self.folder, ignore_errors=True)
--- a/sableford/rig/world.py
+++ b/sableford/rig/world.py
@@ -1,6 +1,6 @@
-"""One run from its file to its verdict: what is started, what befalls it when, what is counted.
+"""One run of a plan: starts the stubs and the schedulers, injects the faults and evaluates the outcome.
 
-It owns the order of things and the addresses. It must never let anything that it started outlive it.
+Addresses are assigned here. All processes and servers that a run started are stopped at its end.
 """
 
 import asyncio
@@ -15,22 +15,22 @@
 import msgspec
 
 from sableford.rig import plan as planned
-from sableford.rig.clients import PORT, Crowd
+from sableford.rig.clients import SCHEDULER_PORT, Clients
+from sableford.rig.discovery import DiscoveryConnection, DiscoveryStub
 from sableford.rig.hours import Hours
-from sableford.rig.ledger import Ledger, Wrong
-from sableford.rig.list_service import Agent, AgentLine
-from sableford.rig.nodes import COPIES, Node
+from sableford.rig.ledger import Ledger, Violation
+from sableford.rig.links import Links, relay_packets
+from sableford.rig.nodes import COPY_INTERVAL_S, Node
 from sableford.rig.plan import Fault, Plan
-from sableford.rig.ways import Ways, relay_packets
-from sableford.rig.workers import Worker, WorkerLine
+from sableford.rig.workers import Worker, WorkerConnection
 
-DOOR, PEERS, LIST, FLEET = 9901, 7000, 8500, 7100  # ports, each on a host of its own
-LATE = 400.0  # ms: past this the rig's own lateness spoils what it says
-GRACE = 750.0  # ms: of this world's rule on drains
+CONSOLE_PORT, PEER_PORT, DISCOVERY_PORT, FLEET_PORT = 9901, 7000, 8500, 7100  # ports
+MAX_LATE_MS = 400.0  # a run in which the rig itself was later than this is void
+DRAIN_GRACE_MS = 750.0  # rule 3: how long after the notice a draining worker may still get new txns
 
 
 class Span(NamedTuple):
-    """Of a part of the run, a second: what was asked, served, refused, posted, looked at."""
+    """Rates per second between two points of a run. The fields are keys of `rig run --json`."""
 
     start: float
     end: float
@@ -43,24 +43,26 @@
 
 
 class Outcome(NamedTuple):
-    wrongs: list[Wrong]
-    ended: dict[str, list[int]]  # processes that ended by themselves, and how
+    """The result of a run. The fields are keys of `rig run --json`."""
+
+    wrongs: list[Violation]
+    ended: dict[str, list[int]]  # exit codes of processes that ended unexpectedly
     spans: list[Span]
-    postings: float  # for each request
-    most_pushed: float  # a cold worker, in what it can do
-    late: float  # ms: the rig's own
+    postings: float  # per request
+    most_pushed: float  # highest load of a worker that was warming up, as a multiple of its capacity
+    late: float  # how late the rig itself sent a request, at most; ms
 
     def sound(self) -> bool:
-        return not self.wrongs and not self.ended and self.late <= LATE
+        return not self.wrongs and not self.ended and self.late <= MAX_LATE_MS
 
 
-def settings(plan: Plan, position: int) -> dict:
-    asked = plan.workers
-    given = {
+def scheduler_settings(plan: Plan, position: int) -> dict:
+    worker_plan = plan.workers
+    settings = {
         "instances": plan.schedulers,
         "position": position,
-        "zones": [f"z{at}" for at in range(asked.zones)],
-        "zone": position % asked.zones,
+        "zones": [f"z{at}" for at in range(worker_plan.zones)],
+        "zone": position % worker_plan.zones,
         "skus": ["box"],
         "schemes": [
             {"name": scheme.name, "effect": scheme.effect, "earnings": scheme.earnings}
@@ -70,73 +72,89 @@
         ],
         "limits": {"most_postings": 6, "may_cancel": True, "probes": True, "retry_after": True}
         | {"max_retry_after_s": 2.0, "conn_idle_s": 5.0, "connect_timeout_s": 0.25, "peers": plan.talk},
-        "obligations": {"overload_factor": asked.overload_factor, "fall_s": asked.fall_ms / 1000.0}
-        | {"start_capacity": asked.start_capacity, "warm_within_s": asked.warm_ms / 1000.0},
+        "obligations": {
+            "overload_factor": worker_plan.overload_factor,
+            "fall_s": worker_plan.fall_ms / 1000.0,
+        }
+        | {"start_capacity": worker_plan.start_capacity, "warm_within_s": worker_plan.warm_ms / 1000.0},
         "load_info": {"columns": ["depth", "x0"], "via": "inline"},
         "specifics": {"report_x0": "free slots", "tells_start": True, "progress_s": 0.0},
     }
     for key, value in plan.settings.items():
-        given[key] = given[key] | value if isinstance(value, dict) and key in given else value
-    return given
+        settings[key] = settings[key] | value if isinstance(value, dict) and key in settings else value
+    return settings
 
 
 class World:
     def __init__(self, plan: Plan, root: Path) -> None:
         self.plan, self.root = plan, root
-        self.ways = Ways(plan.seed)
+        self.links = Links(plan.seed)
         self.hours = Hours()
         self.faults = planned.schedule(plan)
         effects = [scheme.effect for scheme in plan.scheme]
-        self.ledger = Ledger(effects, GRACE)
-        # Hosts of this run alone, so that several runs at once never meet.
+        self.ledger = Ledger(effects, DRAIN_GRACE_MS)
+        # Loopback addresses derived from the process id, so that concurrent runs don't share any.
         self._net = f"127.{64 + os.getpid() // 200 % 190}.{1 + os.getpid() % 200}"
         self.hosts = {name: f"{self._net}.{at + 1}" for at, name in enumerate(planned.schedulers(plan))}
-        self.doors = {name: (host, DOOR) for name, host in self.hosts.items()}
+        self.doors = {name: (host, CONSOLE_PORT) for name, host in self.hosts.items()}
         self.workers = {
-            name: Worker(name, plan, self.ways, self.ledger, self.hours) for name in planned.workers(plan)
+            name: Worker(name, plan, self.links, self.ledger, self.hours) for name in planned.workers(plan)
         }
         self._servers: list = []
-        self._doors: dict[str, list[asyncio.Server]] = {name: [] for name in self.workers}
-        self._ports: dict[tuple[str, str], int] = {}
-        self.agent = Agent(plan, self.ways, self.ledger, self.hours, self._members)
+        self._worker_servers: dict[str, list[asyncio.Server]] = {name: [] for name in self.workers}
+        self._worker_ports: dict[tuple[str, str], int] = {}
+        self.discovery = DiscoveryStub(plan, self.links, self.ledger, self.hours, self._members)
         self.nodes: dict[str, Node] = {}
-        self.crowd = Crowd(plan, self.ways, self.ledger, self.hours, self.hosts)
+        self.crowd = Clients(plan, self.links, self.ledger, self.hours, self.hosts)
         self._tasks: set[asyncio.Task] = set()
         self._probes: list[tuple[float, int]] = []
 
-    # Before the load
+    # Start
 
     async def begin(self) -> None:
         loop = asyncio.get_running_loop()
         names = list(self.hosts)
         for at, worker in enumerate(self.workers.values()):
             for number, scheduler in enumerate(names):
-                self._ports[worker.name, scheduler] = 10_000 + 100 * at + number
-            await self._open(worker)
+                self._worker_ports[worker.name, scheduler] = 10_000 + 100 * at + number
+            await self._listen(worker)
         for scheduler, host in self.hosts.items():
             self._servers.append(
-                await loop.create_server(lambda s=scheduler: AgentLine(self.agent, s), host, LIST)
+                await loop.create_server(
+                    lambda s=scheduler: DiscoveryConnection(self.discovery, s), host, DISCOVERY_PORT
+                )
             )
-        told = await self._between(PEERS) if self.plan.talk and not self.plan.fleet else {}
-        fleet = await self._between(FLEET) if self.plan.fleet else {}
+        peer_addresses = (
+            await self._relay_between_schedulers(PEER_PORT) if self.plan.talk and not self.plan.fleet else {}
+        )
+        fleet_addresses = await self._relay_between_schedulers(FLEET_PORT) if self.plan.fleet else {}
         for at, name in enumerate(names):
             host = self.hosts[name]
-            berth = {"name": name, "listen": f"{host}:{PORT}", "discovery": f"{host}:{LIST}"}
-            berth |= {"console": f"{host}:{DOOR}", "seed": f"{self.plan.seed}-{at}"}
-            berth |= {"limits": {"sockets": 512, "memory_mb": 160}, "settings": settings(self.plan, at)}
-            if told:
-                berth["peers"] = [f"{h}:{p}" for h, p in (told[name, other] for other in names)]
-            if fleet:
-                peers = {other: "{}:{}".format(*fleet[name, other]) for other in names}
-                berth["fleet"] = self.plan.fleet | {
+            config = {
+                "name": name,
+                "listen": f"{host}:{SCHEDULER_PORT}",
+                "discovery": f"{host}:{DISCOVERY_PORT}",
+            }
+            config |= {"console": f"{host}:{CONSOLE_PORT}", "seed": f"{self.plan.seed}-{at}"}
+            config |= {
+                "limits": {"sockets": 512, "memory_mb": 160},
+                "settings": scheduler_settings(self.plan, at),
+            }
+            if peer_addresses:
+                config["peers"] = [f"{h}:{p}" for h, p in (peer_addresses[name, other] for other in names)]
+            if fleet_addresses:
+                peers = {other: "{}:{}".format(*fleet_addresses[name, other]) for other in names}
+                config["fleet"] = self.plan.fleet | {
                     "peers": peers,
                     "folder": str(self.root / name / "folder" / "fleet"),
                 }
-            self.nodes[name] = Node(name, self.root, berth, self.ledger, self.hours)
-        await asyncio.gather(*(node.start(self.agent.whole(node.name)) for node in self.nodes.values()))
+            self.nodes[name] = Node(name, self.root, config, self.ledger, self.hours)
+        await asyncio.gather(
+            *(node.start(self.discovery.full_list(node.name)) for node in self.nodes.values())
+        )
 
-    async def _between(self, port: int) -> dict[tuple[str, str], tuple[str, int]]:
-        """Where each scheduler finds each: itself at home, another at a relay between the two."""
+    async def _relay_between_schedulers(self, port: int) -> dict[tuple[str, str], tuple[str, int]]:
+        """Addresses by (from, to): a scheduler reaches itself directly, any other through a relay."""
         names = list(self.hosts)
         real = {name: (host, port) for name, host in self.hosts.items()}
         at = {(name, name): real[name] for name in names}
@@ -146,40 +164,46 @@
                     at[name, other] = (f"{self._net}.{200 + one}", port + 200 + two)
         for one, name in enumerate(names):
             for other in names[one + 1 :]:
-                self._servers += await relay_packets(self.ways, name, other, real, at)
+                self._servers += await relay_packets(self.links, name, other, real, at)
         return at
 
-    async def _open(self, worker: Worker) -> None:
+    async def _listen(self, worker: Worker) -> None:
         loop = asyncio.get_running_loop()
         for scheduler in self.hosts:
-            port = self._ports[worker.name, scheduler]
-            self._doors[worker.name].append(
-                await loop.create_server(lambda s=scheduler: WorkerLine(worker, s), f"{self._net}.250", port)
+            port = self._worker_ports[worker.name, scheduler]
+            self._worker_servers[worker.name].append(
+                await loop.create_server(
+                    lambda s=scheduler: WorkerConnection(worker, s), f"{self._net}.250", port
+                )
             )
 
     def _members(self, scheduler: str) -> list[dict]:
         return [
-            {"id": name, "host_port": f"{self._net}.250:{self._ports[name, scheduler]}", "flavor": "box"}
+            {
+                "id": name,
+                "host_port": f"{self._net}.250:{self._worker_ports[name, scheduler]}",
+                "flavor": "box",
+            }
             | {"locality": f"z{at % self.plan.workers.zones}", "cell": 0, "size": 1.0}
             | {"phase": "leaving" if worker.leaving else "active", "up_since_ms": worker.up_since}
             for at, (name, worker) in enumerate(self.workers.items())
             if not worker.dead
         ]
 
-    # The faults
+    # Faults
 
     def _spawn(self, work) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _befall(self) -> None:
-        """Each fault at its time, and its end."""
-        deeds = sorted(
+    async def _run_faults(self) -> None:
+        """Begins and ends each fault at its time."""
+        transitions = sorted(
             [(fault.at_ms, at, True) for at, fault in enumerate(self.faults)]
             + [(fault.at_ms + fault.for_ms, at, False) for at, fault in enumerate(self.faults)]
         )
-        for when, at, begins in deeds:
+        for when, at, begins in transitions:
             await asyncio.sleep(max(0.0, when - self.hours.now()) / 1000.0)
             fault = self.faults[at]
             self.ledger.say(
@@ -188,69 +212,70 @@
             self._spawn(self.act(fault, begins))
 
     async def act(self, fault: Fault, begins: bool) -> None:
-        """One fault's beginning or end, now. A scheduler that is started again takes clients once this
-        returns."""
-        sort = planned.KINDS[fault.what][0]
-        if sort == planned.WORKER:
+        """Begins or ends a fault now. A scheduler that is restarted takes clients when this returns."""
+        target = planned.KINDS[fault.what][0]
+        if target == planned.WORKER:
             for name in fault.who or self.workers:
                 await self._on_worker(fault, self.workers[name], begins)
-        elif sort == planned.SCHEDULER:
-            deeds = [self._on_scheduler(fault, self.nodes[name], begins) for name in fault.who or self.nodes]
-            await asyncio.gather(*deeds)
-        elif sort == planned.LINK:
+        elif target == planned.SCHEDULER:
+            transitions = [
+                self._on_scheduler(fault, self.nodes[name], begins) for name in fault.who or self.nodes
+            ]
+            await asyncio.gather(*transitions)
+        elif target == planned.LINK:
             self._on_link(fault, begins)
-        elif sort == planned.LIST:
+        elif target == planned.DISCOVERY:
             names = set(fault.who or self.nodes)
-            self.agent.mute = self.agent.mute | names if begins else self.agent.mute - names
+            self.discovery.silent = self.discovery.silent | names if begins else self.discovery.silent - names
             if not begins:
-                self.agent.changed()
+                self.discovery.bump_revision()
 
     async def _on_worker(self, fault: Fault, worker: Worker, begins: bool) -> None:
         match fault.what:
             case "hang":
-                worker.hang(begins)
+                worker.set_hung(begins)
             case "slow":
-                worker.slow = fault.size if begins else 1.0
+                worker.slow_factor = fault.size if begins else 1.0
             case "fail":
-                worker.fails = fault.size if begins else 0.0
+                worker.fail_ratio = fault.size if begins else 0.0
             case "drain":
                 worker.leaving = begins
-                await self._tell()
+                await self._announce_change()
             case "die":
                 if begins:
                     worker.die()
-                    for server in self._doors[worker.name]:
+                    for server in self._worker_servers[worker.name]:
                         server.close()
-                    self._doors[worker.name].clear()
-                elif not worker.fell:
-                    worker.come_back(time.time() * 1000.0)
-                    await self._open(worker)
-                await self._tell()
+                    self._worker_servers[worker.name].clear()
+                elif not worker.overloaded:
+                    worker.restart(time.time() * 1000.0)
+                    await self._listen(worker)
+                await self._announce_change()
 
-    async def _tell(self) -> None:
+    async def _announce_change(self) -> None:
         await asyncio.sleep(self.plan.workers.told_ms / 1000.0)
-        self.agent.changed()
+        self.discovery.bump_revision()
 
     async def _on_scheduler(self, fault: Fault, node: Node, begins: bool) -> None:
         if fault.what == "stop":
-            node.stopped += 1 if begins else -1
-            if node.stopped == begins:
-                node.stop() if begins else node.go_on()
+            node.suspend_faults += 1 if begins else -1
+            if node.suspend_faults == begins:
+                node.suspend() if begins else node.resume()
             return
-        node.down += 1 if begins else -1
+        node.down_faults += 1 if begins else -1
         if begins:
-            await (node.term() if fault.what == "term" and not node.stopped else node.kill())
+            await (node.terminate() if fault.what == "term" and not node.suspend_faults else node.kill())
             return
-        if node.down:
+        if node.down_faults:
             return
         others = [other for other in self.nodes.values() if other is not node]
-        await asyncio.to_thread(node.find, fault.folder, others[0] if others else None)
+        await asyncio.to_thread(node.replace_folder, fault.folder, others[0] if others else None)
         if fault.what == "clock":
-            node.laid = node.laid | {"clock_ms": fault.size}
+            node.injected_faults = node.injected_faults | {"clock_ms": fault.size}
         if fault.what == "disk":
-            node.laid = node.laid | {"disk": fault.how, "seed": self.plan.seed}
+            node.injected_faults = node.injected_faults | {"disk": fault.how, "seed": self.plan.seed}
         try:
-            await node.start(self.agent.whole(node.name))
+            await node.start(self.discovery.full_list(node.name))
         except TimeoutError:
             self.ledger.say(self.hours.now(), node.name, "did not come up")
 
@@ -261,52 +286,52 @@
                 if one == two:
                     continue
                 if "clients" in (one, two) and begins:
-                    self.ledger.apart.append((fault.at_ms, fault.at_ms + fault.for_ms + 2000.0))
-                change = {"cut": "held", "oneway": "held"}.get(fault.what, fault.what)
+                    self.ledger.client_link_faults.append((fault.at_ms, fault.at_ms + fault.for_ms + 2000.0))
+                change = {"cut": "blocked", "oneway": "blocked"}.get(fault.what, fault.what)
                 value = (fault.size or 1.0) if begins else 0.0
                 for start, end in ((one, two),) if fault.what == "oneway" else ((one, two), (two, one)):
-                    self.ways.way(start, end).change(**{change: value})
+                    self.links.direction(start, end).set_faults(**{change: value})
 
-    # The run
+    # Run
 
     async def run(self, scene: Callable[[], Awaitable[None]] | None = None) -> Outcome:
-        """The plan's load and faults, to their end. With a `scene` the load lasts as long as that one does,
-        the plan's seconds at the longest: what the scene waits for decides, not the clock."""
+        """Runs the plan's load and faults to their end. With a `scene` the load stops when the scene returns,
+        at the latest after the plan's seconds, so that a test can wait for events instead of times."""
         try:
             await self.begin()
             self.hours.zero = asyncio.get_running_loop().time()
-            for tried in (self.ledger.told, self.ledger.away):  # from before the load: as at its start
-                tried.clear()
+            for records in (self.ledger.sendable, self.ledger.unavailable):  # from before the load
+                records.clear()
             for node in self.nodes.values():
                 for name in self.workers:
-                    self.ledger.may_send(node.name, name, 0.0, True)
-            befall = asyncio.create_task(self._befall())
-            watch = asyncio.create_task(self._watch())
+                    self.ledger.record_sendable(node.name, name, 0.0, True)
+            faults = asyncio.create_task(self._run_faults())
+            sampler = asyncio.create_task(self._sample())
             load = asyncio.create_task(self.crowd.run(planned.load(self.plan)))
             if scene is not None:
                 await scene()
                 self.crowd.stop()
             await load
-            await befall
+            await faults
             while self._tasks:
                 await asyncio.wait(tuple(self._tasks))
             await self.crowd.end()
-            watch.cancel()
-            await asyncio.gather(*(node.term() for node in self.nodes.values()))
+            sampler.cancel()
+            await asyncio.gather(*(node.terminate() for node in self.nodes.values()))
         finally:
             await self.end()
         return self.outcome()
 
-    async def _watch(self) -> None:
-        copied = 0.0
+    async def _sample(self) -> None:
+        copied_at = 0.0
         while True:
             await asyncio.sleep(0.1)
             self._probes.append((self.hours.now(), sum(worker.probes for worker in self.workers.values())))
-            if self.hours.now() - copied > COPIES * 1000.0:
-                copied = self.hours.now()
+            if self.hours.now() - copied_at > COPY_INTERVAL_S * 1000.0:
+                copied_at = self.hours.now()
                 for node in self.nodes.values():
                     if node.lives() and not node.old.exists():
-                        await asyncio.to_thread(node.copy)
+                        await asyncio.to_thread(node.copy_folder)
 
     async def end(self) -> None:
         for task in tuple(self._tasks):
@@ -316,53 +341,64 @@
                 with suppress(ProcessLookupError):
                     node.process.kill()
                 await node.process.wait()
-        for server in (*self._servers, *(server for doors in self._doors.values() for server in doors)):
+        for server in (
+            *self._servers,
+            *(server for doors in self._worker_servers.values() for server in doors),
+        ):
             server.close()
 
     def outcome(self) -> Outcome:
         for node in self.nodes.values():
-            if node.away_from is not None:
-                self.ledger.gone(node.name, node.away_from, float("inf"), "ended")
+            if node.unavailable_since is not None:
+                self.ledger.record_unavailable(node.name, node.unavailable_since, float("inf"), "ended")
         due = [request.due for request in planned.load(self.plan)]
         served = [at for _, at in self.crowd.outcomes.values()]
         sla = [scheme.sla_ms for scheme in self.plan.scheme]
         schemes = {request.number: request.scheme for request in planned.load(self.plan)}
-        in_time = [at for n, (d, at) in self.crowd.outcomes.items() if at - d <= sla[schemes[n]]]
-        posted = [run.at for run in self.ledger.arrived]
+        in_time = [
+            at for number, (due_at, at) in self.crowd.outcomes.items() if at - due_at <= sla[schemes[number]]
+        ]
+        post_times = [run.at for run in self.ledger.posts]
         spans = []
         for start, end in planned.spans(self.plan, self.faults):
-            lasts = (end - start) / 1000.0
+            duration_s = (end - start) / 1000.0
 
-            def each(times: list[float], start=start, end=end, lasts=lasts) -> float:
-                return sum(start <= at < end for at in times) / lasts
+            def rate(times: list[float], start=start, end=end, duration_s=duration_s) -> float:
+                return sum(start <= at < end for at in times) / duration_s
 
             counts = [count for at, count in self._probes if start <= at < end] or [0, 0]
-            probes = (counts[-1] - counts[0]) / lasts
+            probes = (counts[-1] - counts[0]) / duration_s
             spans.append(
-                Span(start, end, *map(each, (due, served, in_time, self.crowd.refused, posted)), probes)
+                Span(start, end, *map(rate, (due, served, in_time, self.crowd.refusals, post_times)), probes)
             )
         return Outcome(
-            self.ledger.wrongs(),
-            {node.name: node.codes for node in self.nodes.values() if node.codes},
+            self.ledger.violations(),
+            {
+                node.name: node.unexpected_exit_codes
+                for node in self.nodes.values()
+                if node.unexpected_exit_codes
+            },
             spans,
-            len(posted) / max(1, len(due)),
-            max(worker.most_pushed for worker in self.workers.values()),
+            len(post_times) / max(1, len(due)),
+            max(worker.peak_overload for worker in self.workers.values()),
             self.crowd.late,
         )
 
     def counts(self) -> Counter[str]:
-        """By what clients got: each status of a final answer to a try."""
-        return Counter(str(status) for got in self.ledger.answers.values() for _, status, _ in got)
+        """The number of answers to clients by status."""
+        return Counter(str(status) for received in self.ledger.answers.values() for _, status, _ in received)
 
 
 def story(world: World, around: float, span: float = 1000.0) -> list[str]:
-    """All logs and the world's own account in one order, from a second before to a second after; clocks of
-    processes that were set off stand as they said."""
+    """Merges the logs of all schedulers with the history of the stubs, `span` ms before and after `around`.
+
+    Log entries of a process with a clock offset keep their shifted time."""
     zero = time.time() * 1000.0 - world.hours.now()
-    lines = [(at, f"{who} {what}") for at, who, what in world.ledger.story]
-    lines += [(run.at, f"{run.worker} got {run.id} from {run.scheduler}") for run in world.ledger.arrived]
+    lines = [(at, f"{who} {what}") for at, who, what in world.ledger.events]
+    lines += [(run.at, f"{run.worker} got {run.id} from {run.scheduler}") for run in world.ledger.posts]
     lines += [
-        (tried.at, f"clients send {tried.id} to {tried.scheduler}") for tried in world.ledger.tries.values()
+        (attempt.at, f"clients send {attempt.id} to {attempt.scheduler}")
+        for attempt in world.ledger.tries.values()
     ]
     for txn, answers in world.ledger.answers.items():
         lines += [(at, f"clients got {status} for {txn}") for at, status, _ in answers]
@@ -370,8 +406,10 @@
         with suppress(OSError):
             for text in node.log.read_bytes().splitlines():
                 with suppress(msgspec.MsgspecError, KeyError, TypeError):
-                    told = msgspec.json.decode(text)
-                    facts = " ".join(f"{k}={v}" for k, v in told.items() if k not in ("at", "node", "event"))
-                    lines.append((told["at"] * 1000.0 - zero, f"{node.name} says {told['event']} {facts}"))
+                    entry = msgspec.json.decode(text)
+                    fields = " ".join(
+                        f"{k}={v}" for k, v in entry.items() if k not in ("at", "node", "event")
+                    )
+                    lines.append((entry["at"] * 1000.0 - zero, f"{node.name} says {entry['event']} {fields}"))
     near = sorted(line for line in lines if around - span <= line[0] <= around + span)
     return [f"{at:9.1f} {what}" for at, what in near if " says belief" not in what]
