--- a/examples/system.py
+++ b/examples/system.py
@@ -1,12 +1,11 @@
-"""The whole system on this machine's loopback addresses: three stores, one edge, two toy workers, one
-configuration.
+"""The whole system on loopback addresses: three stores, one edge, two toy workers and a configuration.
 
     .venv/bin/python examples/system.py
 
-Each process has a loopback address of its own (127.0.0.11 and on), since ports are alike on all machines.
-Ctrl-C ends all of them; what they kept goes with the folder that the first line names. No process outlives
-this one, however it ends (Linux). Exit codes: 0 after Ctrl-C or SIGTERM, 2 with one line on standard error
-where an address is in use or a process did not come up.
+Each process has a loopback address of its own (from 127.0.0.11), since all machines use the same ports.
+Ctrl-C ends all of them; their data stays in the folder that the first line names. No process outlives this
+one, however it ends (Linux). Exit codes: 0 after Ctrl-C or SIGTERM, 2 with one line on standard error if an
+address is in use or a process did not start.
 """
 
 import asyncio
@@ -24,9 +23,9 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 STORES = ["127.0.0.11", "127.0.0.12", "127.0.0.13"]
-EDGE, CONTROL, PUBLIC, READY, INNER = "127.0.0.21", 7401, 8080, 8081, 7300
-BAD_START = 2  # exit code
-PR_SET_PDEATHSIG = 1  # of prctl(2): the signal that a process gets as its parent ends
+EDGE, CONTROL_PORT, PUBLIC_PORT, READY_PORT, INTERNAL_PORT = "127.0.0.21", 7401, 8080, 8081, 7300
+EXIT_START_FAILED = 2
+PR_SET_PDEATHSIG = 1  # prctl(2): signal sent to the process when its parent ends
 WORKERS = [("toy-1", "127.0.0.31"), ("toy-2", "127.0.0.32")]
 CONFIG = {
     "revision": 1,
@@ -49,36 +48,36 @@
 
 
 class StartError(Exception):
-    """The system can't be started; the message is one line that names what is in the way."""
+    """The system can't start; the message is one line that names the cause."""
 
 
 def check_addresses() -> None:
-    """Raises StartError for the first address that something else listens on."""
-    places = [(host, port) for host in STORES for port in (INNER, CONTROL)]
-    places += [(EDGE, port) for port in (INNER, PUBLIC, READY)]
-    places += [(host, PUBLIC) for _, host in WORKERS]
-    for host, port in places:
+    """Raises StartError for the first address that is in use."""
+    addresses = [(host, port) for host in STORES for port in (INTERNAL_PORT, CONTROL_PORT)]
+    addresses += [(EDGE, port) for port in (INTERNAL_PORT, PUBLIC_PORT, READY_PORT)]
+    addresses += [(host, PUBLIC_PORT) for _, host in WORKERS]
+    for host, port in addresses:
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 probe.bind((host, port))
-            except OSError as problem:
-                raise StartError(f"{host}:{port}: {problem.strerror}") from None
+            except OSError as error:
+                raise StartError(f"{host}:{port}: {error.strerror}") from None
 
 
 def end_with_parent(parent: int) -> None:
-    """Runs in a child before its program: the kernel ends it as soon as its parent has gone."""
+    """Called in a child before exec: makes the kernel kill it when its parent ends."""
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-    if os.getppid() != parent:  # gone before the call
+    if os.getppid() != parent:  # the parent ended before the call
         os._exit(errno.ESRCH)
 
 
-async def start_child(words: list[str], log: int | None = None) -> asyncio.subprocess.Process:
-    """A process in a session of its own, so that Ctrl-C reaches this one alone. `log`: a file's number for
-    what it says; else it says it where this one does."""
+async def start_child(command: list[str], log: int | None = None) -> asyncio.subprocess.Process:
+    """Starts a process in a session of its own, so that Ctrl-C reaches only this one. `log`: file descriptor
+    for its output, which is inherited by default."""
     parent = os.getpid()
     return await asyncio.create_subprocess_exec(
-        *words,
+        *command,
         cwd=ROOT,
         stdout=log,
         stderr=log,
@@ -87,44 +86,46 @@
     )
 
 
-def settings(folder: Path, name: str, host: str, serves: list[str]) -> Path:
-    """One process's settings file. JSON is YAML too."""
+def write_settings(folder: Path, name: str, host: str, serves: list[str]) -> Path:
+    """Writes the settings file of a process. JSON is valid YAML."""
     edge = "edge" in serves
-    addresses = {"publicHttp": f"{host}:{PUBLIC}", "readyProbe": f"{host}:{READY}"} if edge else {}
-    given = {
+    bind_addresses = (
+        {"publicHttp": f"{host}:{PUBLIC_PORT}", "readyProbe": f"{host}:{READY_PORT}"} if edge else {}
+    )
+    settings = {
         "nodeName": name,
         "bindIp": host,
         "zone": f"zone-{name[-1]}" if not edge else "zone-1",
         "serves": serves,
-        "portRange": [INNER, INNER + 15],
-        "bindAddrs": addresses or {"controlRpc": f"{host}:{CONTROL}"},
-        "seedNodes": [f"{store}:{CONTROL}" for store in STORES],
+        "portRange": [INTERNAL_PORT, INTERNAL_PORT + 15],
+        "bindAddrs": bind_addresses or {"controlRpc": f"{host}:{CONTROL_PORT}"},
+        "seedNodes": [f"{store}:{CONTROL_PORT}" for store in STORES],
         "bootstrap": True,
         "limits": {"memoryMb": 300, "diskMb": 64},
         "dataDir": None if edge else str(folder / name),
         "tolerates": {"machineLoss": 1},
     }
     file = folder / f"{name}.yaml"
-    file.write_text(json.dumps(given))
+    file.write_text(json.dumps(settings))
     return file
 
 
 def call(url: str, body: dict | None = None, **headers: str) -> int:
-    """The status, 0 where nobody answers; redirects are followed once for a POST too."""
+    """Returns the status, 0 if there is no answer; follows 307 redirects, for POST too."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data, headers)
     try:
         with urllib.request.urlopen(request, timeout=2) as answer:
             return answer.status
-    except urllib.error.HTTPError as problem:
-        moved = problem.headers.get("Location")
-        return call(moved, body, **headers) if problem.code == 307 and moved else problem.code
+    except urllib.error.HTTPError as error:
+        location = error.headers.get("Location")
+        return call(location, body, **headers) if error.code == 307 and location else error.code
     except OSError:
         return 0
 
 
-class Toy(asyncio.Protocol):
-    """A worker that takes whatever it is sent, says it in one line and seals it."""
+class ToyWorker(asyncio.Protocol):
+    """A worker that prints each attempt it is sent in one line and confirms it with its seal."""
 
     name = ""
 
@@ -133,64 +134,73 @@
 
     def data_received(self, data: bytes) -> None:
         self.data += data
-        head, found, rest = self.data.partition(b"\r\n\r\n")
-        lines = dict(line.split(": ", 1) for line in head.decode().split("\r\n")[1:])
-        if not found or len(rest) < int(lines.get("Content-Length", 0)):
+        head, separator, rest = self.data.partition(b"\r\n\r\n")
+        headers = dict(line.split(": ", 1) for line in head.decode().split("\r\n")[1:])
+        if not separator or len(rest) < int(headers.get("Content-Length", 0)):
             return
         self.data = b""
         print(f"{self.name} runs {head.split(b' ')[1].decode()} {rest[:40]!r}", flush=True)
         self.transport.write(
-            f"HTTP/1.1 200 OK\r\nAttempt-Id: {lines['Attempt-Id']}\r\nContent-Length: 0\r\n"
-            f"Server-Seal: {self.name}.{lines['Attempt-Id']}\r\n\r\n".encode()
+            f"HTTP/1.1 200 OK\r\nAttempt-Id: {headers['Attempt-Id']}\r\nContent-Length: 0\r\n"
+            f"Server-Seal: {self.name}.{headers['Attempt-Id']}\r\n\r\n".encode()
         )
 
 
-async def beats(name: str, host: str) -> None:
+async def send_heartbeats(name: str, host: str) -> None:
     count, at = 0, 0
     while True:
         count += 1
-        said = {"backend": "toys", "address": f"{host}:{PUBLIC}", "zone": "zone-1", "revision": "v1"}
-        said |= {"capacity": 2, "phase": "ready", "coldLeftMs": 0, "callCount": count}
-        url = f"http://{STORES[at]}:{CONTROL}/v1/instances/{name}/heartbeat"
-        if await asyncio.to_thread(call, url, said) != 200:
+        heartbeat = {
+            "backend": "toys",
+            "address": f"{host}:{PUBLIC_PORT}",
+            "zone": "zone-1",
+            "revision": "v1",
+        }
+        heartbeat |= {"capacity": 2, "phase": "ready", "coldLeftMs": 0, "callCount": count}
+        url = f"http://{STORES[at]}:{CONTROL_PORT}/v1/instances/{name}/heartbeat"
+        if await asyncio.to_thread(call, url, heartbeat) != 200:
             at = (at + 1) % len(STORES)
         await asyncio.sleep(1.0)
 
 
 async def start_processes(folder: Path, running: dict[str, asyncio.subprocess.Process]) -> None:
-    """Fills `running` by name; what was started stands there even where a later one fails."""
-    duties = [
+    """Adds each process to `running` as it starts, so that it is known even if a later start fails."""
+    nodes = [
         ("store", f"store-{at}", host, ["storage", "control_plane"]) for at, host in enumerate(STORES, 1)
     ]
-    for duty, name, host, serves in [*duties, ("edge", "edge-1", EDGE, ["edge"])]:
-        file = settings(folder, name, host, serves)
+    for role, name, host, serves in [*nodes, ("edge", "edge-1", EDGE, ["edge"])]:
+        file = write_settings(folder, name, host, serves)
         with (folder / f"{name}.log").open("wb") as log:
-            words = [sys.executable, "-m", "sableford.node", duty, "--settings", str(file)]
-            running[name] = await start_child(words, log.fileno())
+            command = [sys.executable, "-m", "sableford.node", role, "--settings", str(file)]
+            running[name] = await start_child(command, log.fileno())
 
 
 async def start_workers() -> list[asyncio.Task]:
     for name, host in WORKERS:
-        kind = type("Toy", (Toy,), {"name": name})
+        worker_class = type("Toy", (ToyWorker,), {"name": name})
         try:
-            await asyncio.get_running_loop().create_server(kind, host, PUBLIC)
-        except OSError as problem:
-            raise StartError(f"{host}:{PUBLIC}: {problem.strerror}") from None
-    return [asyncio.create_task(beats(*worker)) for worker in WORKERS]
+            await asyncio.get_running_loop().create_server(worker_class, host, PUBLIC_PORT)
+        except OSError as error:
+            raise StartError(f"{host}:{PUBLIC_PORT}: {error.strerror}") from None
+    return [asyncio.create_task(send_heartbeats(*worker)) for worker in WORKERS]
 
 
 async def configure() -> None:
-    """Returns once the configuration is acknowledged and the edge takes messages."""
+    """Returns once the configuration is acknowledged and the edge is ready."""
     version = {"Base-Version": "0", "Content-Type": "application/json"}
-    url = f"http://{STORES[0]}:{CONTROL}/v1/config/replace"
+    url = f"http://{STORES[0]}:{CONTROL_PORT}/v1/config/replace"
     while await asyncio.to_thread(lambda: call(url, CONFIG, **version)) != 200:
         await asyncio.sleep(0.3)
-    while await asyncio.to_thread(call, f"http://{EDGE}:{READY}/v1/readiness") != 200:
+    while await asyncio.to_thread(call, f"http://{EDGE}:{READY_PORT}/v1/readiness") != 200:
         await asyncio.sleep(0.1)
     print(
-        f"ready: curl -i http://{EDGE}:{PUBLIC}/lookup/1 -H 'Host: demo.example' -H 'Attempt-Id: a1' -d hello"
+        f"ready: curl -i http://{EDGE}:{PUBLIC_PORT}/lookup/1 "
+        "-H 'Host: demo.example' -H 'Attempt-Id: a1' -d hello"
+    )
+    print(
+        f"then:  curl -i http://{EDGE}:{PUBLIC_PORT}/v1/message/MESSAGE-REF -H 'Host: demo.example'",
+        flush=True,
     )
-    print(f"then:  curl -i http://{EDGE}:{PUBLIC}/v1/message/MESSAGE-REF -H 'Host: demo.example'", flush=True)
 
 
 async def watch(folder: Path, name: str, process: asyncio.subprocess.Process) -> None:
@@ -205,15 +215,15 @@
     await asyncio.gather(*(process.wait() for process in running))
 
 
-async def run(folder: Path, ending: asyncio.Event) -> None:
-    """Until `ending` is set. StartError where a part does not come up or ends by itself."""
+async def run(folder: Path, stop: asyncio.Event) -> None:
+    """Runs until `stop` is set. StartError if a process or server can't start, or if a process ends."""
     running: dict[str, asyncio.subprocess.Process] = {}
     tasks: list[asyncio.Task] = []
     try:
         await start_processes(folder, running)
         tasks += await start_workers()
         watches = [asyncio.create_task(watch(folder, *one)) for one in running.items()]
-        end = asyncio.create_task(ending.wait())
+        end = asyncio.create_task(stop.wait())
         tasks += [*watches, end, asyncio.create_task(configure())]
         done, _ = await asyncio.wait([*watches, end], return_when=asyncio.FIRST_COMPLETED)
         for task in done:
@@ -225,17 +235,17 @@
 
 
 async def main() -> int:
-    loop, ending = asyncio.get_running_loop(), asyncio.Event()
-    for sign in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(sign, ending.set)
+    loop, stop = asyncio.get_running_loop(), asyncio.Event()
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, stop.set)
     try:
         check_addresses()
         folder = Path(tempfile.mkdtemp(prefix="sableford-"))
         print(f"settings, logs and data: {folder}", flush=True)
-        await run(folder, ending)
-    except StartError as problem:
-        print(f"examples/system.py: {problem}", file=sys.stderr)
-        return BAD_START
+        await run(folder, stop)
+    except StartError as error:
+        print(f"examples/system.py: {error}", file=sys.stderr)
+        return EXIT_START_FAILED
     return 0
 
 
--- a/sableford/rig/cli.py
+++ b/sableford/rig/cli.py
@@ -16,7 +16,7 @@
 from sableford.rig.world import MAX_LATE_MS, Outcome, World, story
 
 EXIT_UNSOUND, EXIT_BAD_FILE = 1, 2
-MAX_SHOWN_VIOLATIONS = 20  # later ones are often consequences of the first
+MAX_SHOWN_VIOLATIONS = 20  # the first one matters most
 
 
 def _load_plan(path: str, seed: int | None) -> Plan:
--- a/sableford/rig/ledger.py
+++ b/sableford/rig/ledger.py
@@ -3,6 +3,10 @@
 It records what workers ran, what clients were answered, what each scheduler was told about the workers, and
 when each process was unavailable. Nothing that a scheduler reports about itself is used, so that a faulty
 scheduler can't hide a violation. Times are ms since the start of the load.
+
+Rules: (1) each attempt gets exactly one answer, in time and with the result of a worker, and isn't sent to a
+worker afterwards; (2) an unsafe txn runs at most once, and not at all if it was declined; (3) a draining
+worker gets no new txns after the grace period; (4) a worker that is warming up is not overloaded.
 """
 
 from bisect import bisect_right
@@ -14,7 +18,7 @@
 
 
 class Violation(NamedTuple):
-    """A broken rule: when, which, and the txn or worker concerned. Field names are keys of `rig run --json`."""
+    """A broken rule: when, which, and the txn or worker concerned. Fields are keys of `rig run --json`."""
 
     at: float
     rule: str
@@ -43,6 +47,8 @@
 
 
 class Ledger:
+    """What happened in a run, as recorded by the stubs."""
+
     def __init__(self, effects: list[str], grace: float) -> None:
         """`effects`: the effect of each scheme. `grace`: ms for which a worker may still receive new txns
         after the scheduler was told to stop sending to it."""
@@ -53,12 +59,10 @@
         self.posts: list[Run] = []
         self.runs: dict[str, list[Run]] = defaultdict(list)
         self.results: dict[str, set[bytes]] = defaultdict(set)
-        self.sendable: dict[tuple[str, str], list[tuple[float, bool]]] = defaultdict(
-            list
-        )  # may the scheduler send to it?
-        self.unavailable: dict[str, list[tuple[float, float, str]]] = defaultdict(
-            list
-        )  # process -> (start, end, reason)
+        # (scheduler, worker) -> (at, whether the scheduler was told that it may send to the worker)
+        self.sendable: dict[tuple[str, str], list[tuple[float, bool]]] = defaultdict(list)
+        # process -> (start, end, reason)
+        self.unavailable: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
         self.client_link_faults: list[tuple[float, float]] = []  # faults on links of the clients
         self.overloads: list[tuple[float, str, float]] = []  # at, worker, by which factor
         self.events: list[tuple[float, str, str]] = []  # at, subject, text
--- a/sableford/rig/links.py
+++ b/sableford/rig/links.py
@@ -195,15 +195,15 @@
 
 async def relay_packets(
     links: Links,
-    one: str,
-    other_name: str,
+    first: str,
+    second: str,
     real: dict[str, tuple[str, int]],
     at: dict[tuple[str, str], tuple[str, int]],
 ) -> list[asyncio.BaseTransport]:
     """Relays datagrams between two nodes. `real`: where each listens; `at[a, b]`: the address at which a
     reaches b."""
     loop, relays = asyncio.get_running_loop(), []
-    for start, end in ((one, other_name), (other_name, one)):
+    for start, end in ((first, second), (second, first)):
         relay = _PacketRelay(links.direction(start, end), real[end])
         await loop.create_datagram_endpoint(lambda relay=relay: relay, local_addr=at[start, end])
         relays.append(relay)
--- a/sableford/rig/nodes.py
+++ b/sableford/rig/nodes.py
@@ -120,9 +120,8 @@
             self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        if (
-            self.lives() and self.unavailable_since is not None
-        ):  # false if it was killed and restarted meanwhile
+        # False if it was killed and restarted meanwhile.
+        if self.lives() and self.unavailable_since is not None:
             self.process.send_signal(signal.SIGCONT)
             self._ledger.say(self._hours.now(), self.name, "SIGCONT")
             # Data that arrived while it was suspended is read late: 1000 ms to catch up.
@@ -134,7 +133,7 @@
     # Its data folder
 
     def copy_folder(self) -> None:
-        """Copies the folder once, for a later restart with older data. Files removed meanwhile are skipped."""
+        """Copies the folder once, for a later restart with older data; skips files removed meanwhile."""
         partial_copy = self.home / "copying"
         shutil.rmtree(partial_copy, ignore_errors=True)
         with suppress(shutil.Error, OSError):
--- a/sableford/rig/plan.py
+++ b/sableford/rig/plan.py
@@ -26,8 +26,8 @@
     "kill": (SCHEDULER, ""),  # SIGKILL; restarted when the fault ends
     "stop": (SCHEDULER, ""),  # SIGSTOP, then SIGCONT
     "term": (SCHEDULER, ""),  # SIGTERM; restarted when the fault ends
-    "clock": (SCHEDULER, "clock offset in ms"),  # SIGKILL; restarted with it
-    "disk": (SCHEDULER, ""),  # SIGKILL; restarted with the disk fault named by `how`
+    "clock": (SCHEDULER, "clock offset in ms"),  # SIGKILL; restarted with it when the fault ends
+    "disk": (SCHEDULER, ""),  # SIGKILL; restarted with the disk fault `how` when it ends
     "cut": (LINK, ""),  # blocks both directions; connections stay open
     "oneway": (LINK, ""),  # blocks the direction from `who` to `to`
     "reset": (LINK, ""),  # resets all connections, also new ones while the fault lasts
@@ -42,9 +42,8 @@
 }
 FOLDERS = ("same", "emptied", "older", "other")
 DISK_FAULTS = ("lost", "torn", "flipped", "eio", "full", "once", "slow", "")
-HUNG = (
-    "hung"  # disk fault that lasts until its file is removed; for scripted scenes, never generated at random
-)
+# Disk fault that lasts until its file is removed; for scripted scenes, never generated at random.
+HUNG = "hung"
 MIN_RANDOM_START_MS = 1000.0  # no random fault begins before this, so that the run is under way
 
 
--- a/sableford/rig/world.py
+++ b/sableford/rig/world.py
@@ -24,7 +24,7 @@
 from sableford.rig.plan import Fault, Plan
 from sableford.rig.workers import Worker, WorkerConnection
 
-CONSOLE_PORT, PEER_PORT, DISCOVERY_PORT, FLEET_PORT = 9901, 7000, 8500, 7100  # ports
+CONSOLE_PORT, PEER_PORT, DISCOVERY_PORT, FLEET_PORT = 9901, 7000, 8500, 7100
 MAX_LATE_MS = 400.0  # a run in which the rig itself was later than this is void
 DRAIN_GRACE_MS = 750.0  # rule 3: how long after the notice a draining worker may still get new txns
 
@@ -343,7 +343,7 @@
                 await node.process.wait()
         for server in (
             *self._servers,
-            *(server for doors in self._worker_servers.values() for server in doors),
+            *(server for servers in self._worker_servers.values() for server in servers),
         ):
             server.close()
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,10 +1,10 @@
-"""Loopback addresses of this process's own: runs beside it never meet it, and its ports stay free."""
+"""Loopback addresses derived from the process id, so that concurrent test runs don't share ports."""
 
 import os
 
 
 def network() -> str:
-    """The first three numbers of the addresses; 1 to 249 are free for scenes.
+    """Returns the first three octets; tests may use 1 to 249 as the last one.
 
     >>> network().startswith("127.") and network().count(".") == 2
     True
--- a/tests/memory_network.py
+++ b/tests/memory_network.py
@@ -1,4 +1,4 @@
-"""A loop whose clock runs only when all wait, and connections in memory: no socket, no sleeping."""
+"""An event loop with simulated time, and in-memory connections: no sockets, no sleeping."""
 
 import asyncio
 import gc
@@ -8,20 +8,20 @@
 
 
 class Clock(selectors.SelectSelector):
-    """Waiting for events is what makes time pass, all of it at once."""
+    """A selector with simulated time: waiting for events advances the clock at once by the time-out."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list:
-        assert timeout is not None, "all wait, and nothing is to come"
+        assert timeout is not None, "deadlock: all tasks wait and no timer is pending"
         self.now += max(0.0, timeout)
         return []
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """`listeners` maps an address to what makes the protocol of an accepted connection."""
+    """`listeners` maps an address to the protocol factory of its server."""
 
     def __init__(self) -> None:
         self._clock = Clock()
@@ -38,17 +38,18 @@
         make = self.listeners.get((host, port))
         if make is None:
             raise ConnectionRefusedError
-        dialler = factory()
-        near, far = connected(dialler, make())
+        client = factory()
+        near, far = connect_pair(client, make())
         del far
         await asyncio.sleep(self.dial_ms / 1000.0)
-        return near, dialler
+        return near, client
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection: what is written arrives at the other end's protocol in the next turn.
+    """One end of a connection: the other end's protocol receives data in the next iteration of the loop.
 
-    `written` is all that was; `unread` makes the other end take nothing, so that bytes wait here."""
+    `written` is all data written so far. With `unread` set the other end doesn't read, and data is buffered.
+    """
 
     HIGH_WATER = 65_536
 
@@ -60,7 +61,7 @@
         self.closing = self.unread = self.paused = False
 
     def write(self, data: bytes) -> None:
-        assert not self.closing, "written to after its end"
+        assert not self.closing, "written after the connection was closed"
         self.written += data
         if self.unread:
             self.waiting += len(data)
@@ -113,14 +114,14 @@
 
 
 def attached(protocol: asyncio.Protocol) -> MemoryTransport:
-    """A connection whose other end is the test's own hand."""
+    """Connects the protocol to a transport without another end, which the test drives directly."""
     transport = MemoryTransport()
     transport.protocol = protocol
     protocol.connection_made(transport)
     return transport
 
 
-def connected(one: asyncio.Protocol, two: asyncio.Protocol) -> tuple[MemoryTransport, MemoryTransport]:
+def connect_pair(one: asyncio.Protocol, two: asyncio.Protocol) -> tuple[MemoryTransport, MemoryTransport]:
     near, far = MemoryTransport(), MemoryTransport()
     near.protocol, far.protocol, near.other, far.other = one, two, far, near
     one.connection_made(near)
@@ -129,12 +130,12 @@
 
 
 def simulated(scene: Callable[[SimulatedLoop], Coroutine]) -> Any:
-    """What `scene(loop)` comes to; a fault that nobody caught fails it."""
+    """Returns the result of `scene(loop)`; fails on exceptions that nothing handled."""
     loop = SimulatedLoop()
     try:
         result = loop.run_until_complete(scene(loop))
-        gc.collect(1)  # a task that failed and that nobody asked after says so when it goes
-        assert not loop.problems, loop.problems
+        gc.collect(1)  # a task reports an exception that was never retrieved when it is collected
+        assert not loop.problems, loop.unhandled
         return result
     finally:
         loop.close()
--- a/tests/running.py
+++ b/tests/running.py
@@ -1,4 +1,4 @@
-"""Plain asserts on the runner: what it makes of results and of KNOWN-RED.txt."""
+"""Tests of the test runner: its verdict on results, and how it reads KNOWN-RED.txt."""
 
 from tests.runner import KnownRed, KnownRedError, Result, Test, judge, parted, read_known_red, run_one
 
@@ -7,7 +7,7 @@
 LINE = f"module: test 1 | {COMMAND} | a lost message | 54"
 
 
-def refused(text: str) -> str:
+def error_message(text: str) -> str:
     try:
         known = read_known_red(text, TITLES)
     except KnownRedError as problem:
@@ -24,7 +24,7 @@
 
 
 def shows_a_bad_line_of_known_red_is_told_in_one_line_with_its_number() -> None:
-    for line, said in (
+    for line, expected in (
         ("module: test 1", "not `test"),
         ("module: test 1 | a race in some.py | 54", "not `test"),
         ("module: test 1 | | a race | 54", "not `test"),
@@ -35,8 +35,10 @@
         (f"module: test 2 | a command | {'long ' * 90} | 54", "characters, 400 at most"),
         (LINE, "listed twice"),
     ):
-        told = refused(f"{LINE}\n{line}")
-        assert told.startswith("KNOWN-RED.txt:2: ") and said in told and "\n" not in told, told
+        message = error_message(f"{LINE}\n{line}")
+        assert (
+            message.startswith("KNOWN-RED.txt:2: ") and expected in message and "\n" not in message
+        ), message
 
 
 def shows_a_known_failure_is_printed_and_fails_nothing() -> None:
