--- a/tests/memory_network.py
+++ b/tests/memory_network.py
@@ -135,7 +135,7 @@
     try:
         result = loop.run_until_complete(scene(loop))
         gc.collect(1)  # a task reports an exception that was never retrieved when it is collected
-        assert not loop.problems, loop.unhandled
+        assert not loop.problems, loop.problems
         return result
     finally:
         loop.close()
