--- a/sableford/rig/cli.py
+++ b/sableford/rig/cli.py
@@ -12,8 +12,8 @@
 
 import click
 
+from sableford.rig.harness import MAX_LATE_MS, Harness, Outcome, timeline
 from sableford.rig.plan import Plan, load, read_plan, schedule
-from sableford.rig.world import MAX_LATE_MS, Outcome, World, story
 
 EXIT_UNSOUND, EXIT_BAD_FILE = 1, 2
 MAX_SHOWN_VIOLATIONS = 20  # the first one matters most
@@ -61,20 +61,20 @@
     """Run FILE and show what was served and which rules were broken."""
     plan = _load_plan(file, seed)
     with tempfile.TemporaryDirectory() as folder:
-        world, outcome = asyncio.run(run_harness(plan, Path(out or folder)))
+        harness, outcome = asyncio.run(run_harness(plan, Path(out or folder)))
         if as_json:
             click.echo(json.dumps(outcome_as_dict(outcome)))
         else:
-            _show(outcome, world)
+            _show(outcome, harness)
         if outcome.wrongs:
-            click.echo("\n".join(story(world, outcome.wrongs[0].at)), err=True)
+            click.echo("\n".join(timeline(harness, outcome.wrongs[0].at)), err=True)
             click.echo(f"again: python -m sableford rig run {file} --seed {plan.seed}", err=True)
     sys.exit(0 if outcome.sound() else EXIT_UNSOUND)
 
 
-async def run_harness(plan: Plan, root: Path) -> tuple[World, Outcome]:
-    world = World(plan, root)
-    return world, await world.run()
+async def run_harness(plan: Plan, root: Path) -> tuple[Harness, Outcome]:
+    harness = Harness(plan, root)
+    return harness, await harness.run()
 
 
 def outcome_as_dict(outcome: Outcome) -> dict:
@@ -85,13 +85,15 @@
     }
 
 
-def _show(outcome: Outcome, world: World) -> None:
+def _show(outcome: Outcome, harness: Harness) -> None:
     click.echo("   from      to      due   served  in time  refused  postings   probes   (per second)")
     for span in outcome.spans:
         if span.end > span.start:
             rates = "".join(f"{rate:9.1f}" for rate in span[2:])
             click.echo(f"{span.start / 1000.0:7.2f} {span.end / 1000.0:7.2f}{rates}")
-    click.echo(f"answers: {dict(sorted(world.counts().items()))}; postings a request {outcome.postings:.3f}")
+    click.echo(
+        f"answers: {dict(sorted(harness.counts().items()))}; postings a request {outcome.postings:.3f}"
+    )
     peak = f"{outcome.most_pushed:.2f} times its capacity"
     click.echo(f"peak load of a worker while warming up: {peak}; rig {outcome.late:.0f} ms late")
     for name, codes in outcome.ended.items():
--- a/sableford/rig/clients.py
+++ b/sableford/rig/clients.py
@@ -6,9 +6,9 @@
 import asyncio
 from random import Random
 
-from sableford.rig.hours import Hours
+from sableford.rig.clock import RunClock
+from sableford.rig.history import Attempt, History
 from sableford.rig.http_parser import HttpParser
-from sableford.rig.ledger import Attempt, Ledger
 from sableford.rig.links import Links, StubConnection
 from sableford.rig.plan import Plan, Request
 
@@ -53,28 +53,30 @@
 class Clients:
     """The clients and their load balancer. Open loop: each request is sent when it is due."""
 
-    def __init__(self, plan: Plan, links: Links, ledger: Ledger, hours: Hours, hosts: dict[str, str]) -> None:
-        self.plan, self.links, self.ledger, self.hours = plan, links, ledger, hours
+    def __init__(
+        self, plan: Plan, links: Links, history: History, clock: RunClock, hosts: dict[str, str]
+    ) -> None:
+        self.plan, self.links, self.history, self.clock = plan, links, history, clock
         self.hosts = hosts  # scheduler name -> host
         self._idle: dict[str, list[ClientConnection]] = {name: [] for name in hosts}
         self._avoided_until: dict[str, float] = {}
         self._random = Random(f"front {plan.seed}")
-        self.outcomes: dict[int, tuple[float, float]] = {}  # request number -> (due, served at)
+        self.served: dict[int, tuple[float, float]] = {}  # request number -> (due, served at)
         self.refusals: list[float] = []
         self.late = 0.0  # how late the rig itself sent a request, at most; ms
-        self.asked = 0  # requests sent so far
+        self.sent_count = 0  # requests sent so far
         self._stopped = False
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, requests: list[Request]) -> None:
         for request in requests:
-            wait = request.due - self.hours.now()
+            wait = request.due - self.clock.now()
             if wait > 0.0:
                 await asyncio.sleep(wait / 1000.0)
             if self._stopped:
                 return
-            self.asked += 1
-            self.late = max(self.late, self.hours.now() - request.due)
+            self.sent_count += 1
+            self.late = max(self.late, self.clock.now() - request.due)
             task = asyncio.create_task(self._send_request(request))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -83,7 +85,7 @@
         """Sends no further requests."""
         self._stopped = True
 
-    async def end(self) -> None:
+    async def wait_for_answers(self) -> None:
         """Waits for the answers of all requests, up to the longest expiry, and cancels the rest."""
         limit = max(scheme.expiry_ms for scheme in self.plan.scheme) + MAX_PAUSE_MS
         if self._tasks:
@@ -92,7 +94,7 @@
             task.cancel()
 
     def _choose_scheduler(self) -> str:
-        now = self.hours.now()
+        now = self.clock.now()
         reachable = [name for name in self.hosts if self._avoided_until.get(name, -1.0) < now]
         return self._random.choice(reachable or list(self.hosts))
 
@@ -100,10 +102,10 @@
         for attempt_number in range(1 + self.plan.load.retries):
             status, pause = await self._send_attempt(request, attempt_number)
             if status == 200:
-                self.outcomes[request.number] = request.due, self.hours.now()
+                self.served[request.number] = request.due, self.clock.now()
                 return
             if status in (429, 503):
-                self.refusals.append(self.hours.now())
+                self.refusals.append(self.clock.now())
             elif status:  # failed: it may have run, so a retry isn't safe
                 return
             await asyncio.sleep(min(MAX_PAUSE_MS, pause) / 1000.0)
@@ -122,7 +124,7 @@
                 )
             return connection
         except OSError:
-            self._avoided_until[scheduler] = self.hours.now() + AVOID_MS
+            self._avoided_until[scheduler] = self.clock.now() + AVOID_MS
             return None
 
     async def _send_attempt(self, request: Request, attempt_number: int) -> tuple[int, float]:
@@ -136,10 +138,10 @@
             request.number,
             scheduler,
             request.scheme,
-            self.hours.now(),
+            self.clock.now(),
             time_left,
         )
-        self.ledger.record_attempt(attempt)
+        self.history.record_attempt(attempt)
         head = f"POST /api HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {attempt.id}\r\n"
         head += f"X-Service-Class: {scheme.name}\r\nX-Time-Left: {time_left:.0f}m\r\n"
         head += "X-Repeat: 1\r\n" if attempt_number else ""
@@ -152,7 +154,7 @@
             connection.abort()
             return 0, DEFAULT_PAUSE_MS
         if message is None:
-            self.ledger.closed_unanswered[attempt.id] = self.hours.now()
+            self.history.closed_unanswered[attempt.id] = self.clock.now()
             return 0, DEFAULT_PAUSE_MS
         start_line, headers, body = message
         try:
@@ -163,7 +165,7 @@
         except (ValueError, IndexError):  # corrupted by an injected fault
             connection.abort()
             return 0, DEFAULT_PAUSE_MS
-        self.ledger.record_answer(attempt.id, self.hours.now(), status, body)
+        self.history.record_answer(attempt.id, self.clock.now(), status, body)
         if headers.get(b"connection", b"").lower() == b"close":
             connection.abort()
         else:
--- a/sableford/rig/discovery.py
+++ b/sableford/rig/discovery.py
@@ -5,9 +5,9 @@
 
 from msgspec import json
 
-from sableford.rig.hours import Hours
+from sableford.rig.clock import RunClock
+from sableford.rig.history import History
 from sableford.rig.http_parser import HttpParser
-from sableford.rig.ledger import Ledger
 from sableford.rig.links import Links, StubConnection
 from sableford.rig.plan import Plan
 
@@ -15,8 +15,10 @@
 class DiscoveryStub:
     """The worker list, served on one address per scheduler, so that each answer is recorded by recipient."""
 
-    def __init__(self, plan: Plan, links: Links, ledger: Ledger, hours: Hours, members: Callable) -> None:
-        self.plan, self.links, self.ledger, self.hours = plan, links, ledger, hours
+    def __init__(
+        self, plan: Plan, links: Links, history: History, clock: RunClock, members: Callable
+    ) -> None:
+        self.plan, self.links, self.history, self.clock = plan, links, history, clock
         self._members = members  # scheduler -> the current list
         self.revision = 1
         self.silent: set[str] = set()
@@ -78,8 +80,8 @@
             if outdated
             else {"revision": discovery.revision, "complete": False, "members": []}
         )
-        now = discovery.hours.now()
+        now = discovery.clock.now()
         for member in reply["members"]:
-            discovery.ledger.record_sendable(self.other_name, member["id"], now, member["phase"] == "active")
+            discovery.history.record_sendable(self.other_name, member["id"], now, member["phase"] == "active")
         body = json.encode(reply)
         self.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
--- a/sableford/rig/disk.py
+++ b/sableford/rig/disk.py
@@ -12,7 +12,7 @@
 from sableford.rig.plan import HUNG
 
 SLOW_FLUSH_S = 5.0
-HANGS = ".now"
+HUNG_SUFFIX = ".now"
 HUNG_POLL_S = 0.02  # how often a hung flush checks whether to go on
 FAILING_FLUSH = 3  # of the fault `once`
 LOST_APPENDS = 4  # appends that the fault `lost` holds back
@@ -58,7 +58,7 @@
         if self._fault == "slow":
             time.sleep(SLOW_FLUSH_S)
         while self._fault == HUNG and self._hung_file.exists():
-            self._hung_file.with_suffix(HANGS).touch()
+            self._hung_file.with_suffix(HUNG_SUFFIX).touch()
             time.sleep(HUNG_POLL_S)
         if self._fault == "once" and self._flushes == FAILING_FLUSH:
             raise OSError(errno.EIO, "once, by the rig")
--- a/sableford/rig/world.py
+++ b/sableford/rig/harness.py
@@ -16,9 +16,9 @@
 
 from sableford.rig import plan as planned
 from sableford.rig.clients import SCHEDULER_PORT, Clients
+from sableford.rig.clock import RunClock
 from sableford.rig.discovery import DiscoveryConnection, DiscoveryStub
-from sableford.rig.hours import Hours
-from sableford.rig.ledger import Ledger, Violation
+from sableford.rig.history import History, Violation
 from sableford.rig.links import Links, relay_packets
 from sableford.rig.nodes import COPY_INTERVAL_S, Node
 from sableford.rig.plan import Fault, Plan
@@ -85,33 +85,35 @@
     return settings
 
 
-class World:
+class Harness:
+    """The stubs, schedulers and links of one run, and their addresses."""
+
     def __init__(self, plan: Plan, root: Path) -> None:
         self.plan, self.root = plan, root
         self.links = Links(plan.seed)
-        self.hours = Hours()
+        self.clock = RunClock()
         self.faults = planned.schedule(plan)
         effects = [scheme.effect for scheme in plan.scheme]
-        self.ledger = Ledger(effects, DRAIN_GRACE_MS)
+        self.history = History(effects, DRAIN_GRACE_MS)
         # Loopback addresses derived from the process id, so that concurrent runs don't share any.
         self._net = f"127.{64 + os.getpid() // 200 % 190}.{1 + os.getpid() % 200}"
         self.hosts = {name: f"{self._net}.{at + 1}" for at, name in enumerate(planned.schedulers(plan))}
-        self.doors = {name: (host, CONSOLE_PORT) for name, host in self.hosts.items()}
+        self.console_addresses = {name: (host, CONSOLE_PORT) for name, host in self.hosts.items()}
         self.workers = {
-            name: Worker(name, plan, self.links, self.ledger, self.hours) for name in planned.workers(plan)
+            name: Worker(name, plan, self.links, self.history, self.clock) for name in planned.workers(plan)
         }
         self._servers: list = []
         self._worker_servers: dict[str, list[asyncio.Server]] = {name: [] for name in self.workers}
         self._worker_ports: dict[tuple[str, str], int] = {}
-        self.discovery = DiscoveryStub(plan, self.links, self.ledger, self.hours, self._members)
+        self.discovery = DiscoveryStub(plan, self.links, self.history, self.clock, self._members)
         self.nodes: dict[str, Node] = {}
-        self.crowd = Clients(plan, self.links, self.ledger, self.hours, self.hosts)
+        self.clients = Clients(plan, self.links, self.history, self.clock, self.hosts)
         self._tasks: set[asyncio.Task] = set()
         self._probes: list[tuple[float, int]] = []
 
     # Start
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         loop = asyncio.get_running_loop()
         names = list(self.hosts)
         for at, worker in enumerate(self.workers.values()):
@@ -148,7 +150,7 @@
                     "peers": peers,
                     "folder": str(self.root / name / "folder" / "fleet"),
                 }
-            self.nodes[name] = Node(name, self.root, config, self.ledger, self.hours)
+            self.nodes[name] = Node(name, self.root, config, self.history, self.clock)
         await asyncio.gather(
             *(node.start(self.discovery.full_list(node.name)) for node in self.nodes.values())
         )
@@ -204,14 +206,14 @@
             + [(fault.at_ms + fault.for_ms, at, False) for at, fault in enumerate(self.faults)]
         )
         for when, at, begins in transitions:
-            await asyncio.sleep(max(0.0, when - self.hours.now()) / 1000.0)
+            await asyncio.sleep(max(0.0, when - self.clock.now()) / 1000.0)
             fault = self.faults[at]
-            self.ledger.say(
-                self.hours.now(), "rig", f"{fault.what} {'begins' if begins else 'ends'}: {fault.who}"
+            self.history.record_event(
+                self.clock.now(), "rig", f"{fault.what} {'begins' if begins else 'ends'}: {fault.who}"
             )
-            self._spawn(self.act(fault, begins))
+            self._spawn(self.apply_fault(fault, begins))
 
-    async def act(self, fault: Fault, begins: bool) -> None:
+    async def apply_fault(self, fault: Fault, begins: bool) -> None:
         """Begins or ends a fault now. A scheduler that is restarted takes clients when this returns."""
         target = planned.KINDS[fault.what][0]
         if target == planned.WORKER:
@@ -277,7 +279,7 @@
         try:
             await node.start(self.discovery.full_list(node.name))
         except TimeoutError:
-            self.ledger.say(self.hours.now(), node.name, "did not come up")
+            self.history.record_event(self.clock.now(), node.name, "did not come up")
 
     def _on_link(self, fault: Fault, begins: bool) -> None:
         names = [*self.nodes, *self.workers, "clients", "list"]
@@ -286,7 +288,7 @@
                 if one == two:
                     continue
                 if "clients" in (one, two) and begins:
-                    self.ledger.client_link_faults.append((fault.at_ms, fault.at_ms + fault.for_ms + 2000.0))
+                    self.history.client_link_faults.append((fault.at_ms, fault.at_ms + fault.for_ms + 2000.0))
                 change = {"cut": "blocked", "oneway": "blocked"}.get(fault.what, fault.what)
                 value = (fault.size or 1.0) if begins else 0.0
                 for start, end in ((one, two),) if fault.what == "oneway" else ((one, two), (two, one)):
@@ -298,46 +300,46 @@
         """Runs the plan's load and faults to their end. With a `scene` the load stops when the scene returns,
         at the latest after the plan's seconds, so that a test can wait for events instead of times."""
         try:
-            await self.begin()
-            self.hours.zero = asyncio.get_running_loop().time()
-            for records in (self.ledger.sendable, self.ledger.unavailable):  # from before the load
+            await self.start()
+            self.clock.origin = asyncio.get_running_loop().time()
+            for records in (self.history.sendable, self.history.unavailable):  # from before the load
                 records.clear()
             for node in self.nodes.values():
                 for name in self.workers:
-                    self.ledger.record_sendable(node.name, name, 0.0, True)
+                    self.history.record_sendable(node.name, name, 0.0, True)
             faults = asyncio.create_task(self._run_faults())
             sampler = asyncio.create_task(self._sample())
-            load = asyncio.create_task(self.crowd.run(planned.load(self.plan)))
+            load = asyncio.create_task(self.clients.run(planned.load(self.plan)))
             if scene is not None:
                 await scene()
-                self.crowd.stop()
+                self.clients.stop()
             await load
             await faults
             while self._tasks:
                 await asyncio.wait(tuple(self._tasks))
-            await self.crowd.end()
+            await self.clients.wait_for_answers()
             sampler.cancel()
             await asyncio.gather(*(node.terminate() for node in self.nodes.values()))
         finally:
-            await self.end()
+            await self.shut_down()
         return self.outcome()
 
     async def _sample(self) -> None:
         copied_at = 0.0
         while True:
             await asyncio.sleep(0.1)
-            self._probes.append((self.hours.now(), sum(worker.probes for worker in self.workers.values())))
-            if self.hours.now() - copied_at > COPY_INTERVAL_S * 1000.0:
-                copied_at = self.hours.now()
+            self._probes.append((self.clock.now(), sum(worker.probes for worker in self.workers.values())))
+            if self.clock.now() - copied_at > COPY_INTERVAL_S * 1000.0:
+                copied_at = self.clock.now()
                 for node in self.nodes.values():
-                    if node.lives() and not node.old.exists():
+                    if node.is_running() and not node.older_copy.exists():
                         await asyncio.to_thread(node.copy_folder)
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         for task in tuple(self._tasks):
             task.cancel()
         for node in self.nodes.values():
-            if node.lives():
+            if node.is_running():
                 with suppress(ProcessLookupError):
                     node.process.kill()
                 await node.process.wait()
@@ -350,15 +352,15 @@
     def outcome(self) -> Outcome:
         for node in self.nodes.values():
             if node.unavailable_since is not None:
-                self.ledger.record_unavailable(node.name, node.unavailable_since, float("inf"), "ended")
+                self.history.record_unavailable(node.name, node.unavailable_since, float("inf"), "ended")
         due = [request.due for request in planned.load(self.plan)]
-        served = [at for _, at in self.crowd.outcomes.values()]
+        served = [at for _, at in self.clients.served.values()]
         sla = [scheme.sla_ms for scheme in self.plan.scheme]
         schemes = {request.number: request.scheme for request in planned.load(self.plan)}
         in_time = [
-            at for number, (due_at, at) in self.crowd.outcomes.items() if at - due_at <= sla[schemes[number]]
+            at for number, (due_at, at) in self.clients.served.items() if at - due_at <= sla[schemes[number]]
         ]
-        post_times = [run.at for run in self.ledger.posts]
+        post_times = [run.at for run in self.history.posts]
         spans = []
         for start, end in planned.spans(self.plan, self.faults):
             duration_s = (end - start) / 1000.0
@@ -369,10 +371,12 @@
             counts = [count for at, count in self._probes if start <= at < end] or [0, 0]
             probes = (counts[-1] - counts[0]) / duration_s
             spans.append(
-                Span(start, end, *map(rate, (due, served, in_time, self.crowd.refusals, post_times)), probes)
+                Span(
+                    start, end, *map(rate, (due, served, in_time, self.clients.refusals, post_times)), probes
+                )
             )
         return Outcome(
-            self.ledger.violations(),
+            self.history.violations(),
             {
                 node.name: node.unexpected_exit_codes
                 for node in self.nodes.values()
@@ -381,28 +385,28 @@
             spans,
             len(post_times) / max(1, len(due)),
             max(worker.peak_overload for worker in self.workers.values()),
-            self.crowd.late,
+            self.clients.late,
         )
 
     def counts(self) -> Counter[str]:
         """The number of answers to clients by status."""
-        return Counter(str(status) for received in self.ledger.answers.values() for _, status, _ in received)
+        return Counter(str(status) for received in self.history.answers.values() for _, status, _ in received)
 
 
-def story(world: World, around: float, span: float = 1000.0) -> list[str]:
+def timeline(harness: Harness, around: float, span: float = 1000.0) -> list[str]:
     """Merges the logs of all schedulers with the history of the stubs, `span` ms before and after `around`.
 
     Log entries of a process with a clock offset keep their shifted time."""
-    zero = time.time() * 1000.0 - world.hours.now()
-    lines = [(at, f"{who} {what}") for at, who, what in world.ledger.events]
-    lines += [(run.at, f"{run.worker} got {run.id} from {run.scheduler}") for run in world.ledger.posts]
+    origin = time.time() * 1000.0 - harness.clock.now()
+    lines = [(at, f"{who} {what}") for at, who, what in harness.history.events]
+    lines += [(run.at, f"{run.worker} got {run.id} from {run.scheduler}") for run in harness.history.posts]
     lines += [
         (attempt.at, f"clients send {attempt.id} to {attempt.scheduler}")
-        for attempt in world.ledger.tries.values()
+        for attempt in harness.history.attempts.values()
     ]
-    for txn, answers in world.ledger.answers.items():
+    for txn, answers in harness.history.answers.items():
         lines += [(at, f"clients got {status} for {txn}") for at, status, _ in answers]
-    for node in world.nodes.values():
+    for node in harness.nodes.values():
         with suppress(OSError):
             for text in node.log.read_bytes().splitlines():
                 with suppress(msgspec.MsgspecError, KeyError, TypeError):
@@ -410,6 +414,8 @@
                     fields = " ".join(
                         f"{k}={v}" for k, v in entry.items() if k not in ("at", "node", "event")
                     )
-                    lines.append((entry["at"] * 1000.0 - zero, f"{node.name} says {entry['event']} {fields}"))
+                    lines.append(
+                        (entry["at"] * 1000.0 - origin, f"{node.name} says {entry['event']} {fields}")
+                    )
     near = sorted(line for line in lines if around - span <= line[0] <= around + span)
     return [f"{at:9.1f} {what}" for at, what in near if " says belief" not in what]
--- a/sableford/rig/ledger.py
+++ b/sableford/rig/history.py
@@ -46,14 +46,14 @@
     at: float
 
 
-class Ledger:
+class History:
     """What happened in a run, as recorded by the stubs."""
 
     def __init__(self, effects: list[str], grace: float) -> None:
         """`effects`: the effect of each scheme. `grace`: ms for which a worker may still receive new txns
         after the scheduler was told to stop sending to it."""
         self.effects, self.grace = effects, grace
-        self.tries: dict[str, Attempt] = {}
+        self.attempts: dict[str, Attempt] = {}
         self.answers: dict[str, list[tuple[float, int, bytes]]] = defaultdict(list)
         self.closed_unanswered: dict[str, float] = {}  # txn -> when the connection ended without an answer
         self.posts: list[Run] = []
@@ -70,7 +70,7 @@
     # Recording
 
     def record_attempt(self, attempt: Attempt) -> None:
-        self.tries[attempt.id] = attempt
+        self.attempts[attempt.id] = attempt
 
     def record_answer(self, txn: str, at: float, status: int, body: bytes) -> None:
         self.answers[txn].append((at, status, body))
@@ -90,7 +90,7 @@
     def record_unavailable(self, process: str, start: float, end: float, reason: str) -> None:
         self.unavailable[process].append((start, end, reason))
 
-    def say(self, at: float, subject: str, text: str) -> None:
+    def record_event(self, at: float, subject: str, text: str) -> None:
         self.events.append((at, subject, text))
 
     # Checks
@@ -114,7 +114,7 @@
 
     def _check_answers(self) -> list[Violation]:
         violations = []
-        for txn, attempt in self.tries.items():
+        for txn, attempt in self.attempts.items():
             answers, expiry = self.answers[txn], attempt.at + attempt.time_left
             if len(answers) > 1:
                 violations.append(Violation(answers[1][0], "1 answer", txn, f"{len(answers)} answers"))
@@ -150,7 +150,7 @@
     def _check_repeats(self) -> list[Violation]:
         violations = []
         for txn, runs in self.runs.items():
-            attempt = self.tries.get(txn)
+            attempt = self.attempts.get(txn)
             if attempt is None:
                 violations.append(Violation(runs[0].at, "2 twice", txn, "not sent by any client"))
             elif self.effects[attempt.scheme] == RUNS_ONCE:
--- a/sableford/rig/nodes.py
+++ b/sableford/rig/nodes.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from sableford.rig.hours import Hours
-from sableford.rig.ledger import Ledger
+from sableford.rig.clock import RunClock
+from sableford.rig.history import History
 
 READY_TIMEOUT_S = (
     20.0  # until it takes clients; with the `slow` disk fault a start takes several slow flushes
@@ -26,10 +26,10 @@
 class Node:
     """One scheduler process, its data folder and its log."""
 
-    def __init__(self, name: str, root: Path, config: dict, ledger: Ledger, hours: Hours) -> None:
-        self.name, self._config, self._ledger, self._hours = name, config, ledger, hours
+    def __init__(self, name: str, root: Path, config: dict, history: History, clock: RunClock) -> None:
+        self.name, self._config, self._history, self._clock = name, config, history, clock
         self.home = root / name
-        self.folder, self.old = self.home / "folder", self.home / "old"
+        self.folder, self.older_copy = self.home / "folder", self.home / "old"
         self.folder.mkdir(parents=True)
         self.config_file, self.log = self.home / "berth.json", self.home / "log"
         self.process: asyncio.subprocess.Process | None = None
@@ -75,58 +75,58 @@
                         break
                 await asyncio.sleep(0.02)
         if self.unavailable_since is not None:
-            self._ledger.record_unavailable(self.name, self.unavailable_since, self._hours.now(), "away")
+            self._history.record_unavailable(self.name, self.unavailable_since, self._clock.now(), "away")
             self.unavailable_since = None
-        self._ledger.say(self._hours.now(), self.name, f"takes clients, process {self.process.pid}")
+        self._history.record_event(self._clock.now(), self.name, f"takes clients, process {self.process.pid}")
 
     async def _watch_process(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
         if not self._end_expected:
             self.unexpected_exit_codes.append(code)
-            self.unavailable_since = self._hours.now()
-            self._ledger.say(self._hours.now(), self.name, f"ended by itself with {code}")
+            self.unavailable_since = self._clock.now()
+            self._history.record_event(self._clock.now(), self.name, f"ended by itself with {code}")
 
-    def lives(self) -> bool:
+    def is_running(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
     async def kill(self) -> None:
-        if self.lives():
-            self._end_expected, self.unavailable_since = True, self._hours.now()
-            self._ledger.say(self._hours.now(), self.name, "SIGKILL")
+        if self.is_running():
+            self._end_expected, self.unavailable_since = True, self._clock.now()
+            self._history.record_event(self._clock.now(), self.name, "SIGKILL")
             self.process.kill()
             await self.process.wait()
 
     async def terminate(self) -> None:
         """Sends SIGTERM. Requests accepted before its end must still be answered, so it counts as unavailable
         only from its end on."""
-        if self.lives():
+        if self.is_running():
             self._end_expected = True
-            self._ledger.say(self._hours.now(), self.name, "SIGTERM")
+            self._history.record_event(self._clock.now(), self.name, "SIGTERM")
             self.process.send_signal(signal.SIGTERM)
             try:
                 async with asyncio.timeout(ENDS_IN):
                     await self.process.wait()
             except TimeoutError:
                 self.unexpected_exit_codes.append(-1)
-                self._ledger.say(self._hours.now(), self.name, "did not end")
+                self._history.record_event(self._clock.now(), self.name, "did not end")
                 self.process.kill()
                 await self.process.wait()
-            self.unavailable_since = self._hours.now()
+            self.unavailable_since = self._clock.now()
 
     def suspend(self) -> None:
-        if self.lives():
-            self.unavailable_since = self._hours.now()
-            self._ledger.say(self._hours.now(), self.name, "SIGSTOP")
+        if self.is_running():
+            self.unavailable_since = self._clock.now()
+            self._history.record_event(self._clock.now(), self.name, "SIGSTOP")
             self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
         # False if it was killed and restarted meanwhile.
-        if self.lives() and self.unavailable_since is not None:
+        if self.is_running() and self.unavailable_since is not None:
             self.process.send_signal(signal.SIGCONT)
-            self._ledger.say(self._hours.now(), self.name, "SIGCONT")
+            self._history.record_event(self._clock.now(), self.name, "SIGCONT")
             # Data that arrived while it was suspended is read late: 1000 ms to catch up.
-            self._ledger.record_unavailable(
-                self.name, self.unavailable_since, self._hours.now() + 1000.0, "stopped"
+            self._history.record_unavailable(
+                self.name, self.unavailable_since, self._clock.now() + 1000.0, "stopped"
             )
             self.unavailable_since = None
 
@@ -138,14 +138,14 @@
         shutil.rmtree(partial_copy, ignore_errors=True)
         with suppress(shutil.Error, OSError):
             shutil.copytree(self.folder, partial_copy)
-        if not self.old.exists() and partial_copy.exists():
-            partial_copy.rename(self.old)
+        if not self.older_copy.exists() and partial_copy.exists():
+            partial_copy.rename(self.older_copy)
 
     def replace_folder(self, what: str, other: "Node | None") -> None:
         if what == "same":
             return
         shutil.rmtree(self.folder, ignore_errors=True)
-        source = {"older": self.old, "other": other.folder if other else self.old}.get(what)
+        source = {"older": self.older_copy, "other": other.folder if other else self.older_copy}.get(what)
         if source is not None and source.exists():
             with suppress(shutil.Error, OSError):
                 shutil.copytree(source, self.folder)
--- a/sableford/rig/workers.py
+++ b/sableford/rig/workers.py
@@ -10,9 +10,9 @@
 
 from msgspec import json
 
-from sableford.rig.hours import Hours
+from sableford.rig.clock import RunClock
+from sableford.rig.history import History, Run
 from sableford.rig.http_parser import HttpParser
-from sableford.rig.ledger import Ledger, Run
 from sableford.rig.links import Links, StubConnection
 from sableford.rig.plan import Plan
 
@@ -29,8 +29,8 @@
 class Worker:
     """A worker with slots, a queue, reduced capacity after a start, and injected faults."""
 
-    def __init__(self, name: str, plan: Plan, links: Links, ledger: Ledger, hours: Hours) -> None:
-        self.name, self.plan, self.links, self.ledger, self.hours = name, plan, links, ledger, hours
+    def __init__(self, name: str, plan: Plan, links: Links, history: History, clock: RunClock) -> None:
+        self.name, self.plan, self.links, self.history, self.clock = name, plan, links, history, clock
         self.slots = plan.workers.slots
         self.connections: set[WorkerConnection] = set()
         self.queue: deque[Job] = deque()
@@ -57,7 +57,7 @@
         return {"queue": len(self.queue), "x0": max(0, int(self.slots - used))}
 
     def enqueue(self, job: Job) -> None:
-        now = self.hours.now()
+        now = self.clock.now()
         self._check_overload(now, job)
         if self.dead:
             return
@@ -82,8 +82,8 @@
         self.peak_overload = max(self.peak_overload, factor)
         if factor > limits.overload_factor:
             self.overloaded = True
-            self.ledger.overloads.append((now, self.name, factor))
-            self.ledger.say(now, self.name, f"overloaded to {factor:.1f} times its capacity")
+            self.history.overloads.append((now, self.name, factor))
+            self.history.record_event(now, self.name, f"overloaded to {factor:.1f} times its capacity")
             self.die()
 
     def run_unless_hung(self, action: Callable[[], None]) -> None:
@@ -99,8 +99,8 @@
                 return
             self.queue.popleft()
             self.running.add(job)
-            now = self.hours.now()
-            self.ledger.record_start(Run(job.txn, self.name, job.connection.other_name, now))
+            now = self.clock.now()
+            self.history.record_start(Run(job.txn, self.name, job.connection.other_name, now))
             job.connection.send_line(job, {"state": "started"})
             duration_ms = self.plan.scheme[job.scheme].run_ms * self.slow_factor / self.capacity_at(now)
             duration_ms *= self._random.uniform(0.8, 1.2)
@@ -146,7 +146,7 @@
 
     def restart(self, unix_ms: float) -> None:
         self.dead = self.hung = self.overloaded = False
-        self.started_at, self.up_since = self.hours.now(), unix_ms
+        self.started_at, self.up_since = self.clock.now(), unix_ms
         self.recent_work.clear()
 
 
@@ -160,7 +160,7 @@
         self._sent_at = 0.0
 
     def data_received(self, data: bytes) -> None:
-        self._sent_at = self._worker.hours.now()
+        self._sent_at = self._worker.clock.now()
         super().data_received(data)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -200,7 +200,7 @@
             worker.run_unless_hung(lambda: self.send(answer))
             return
         txn = headers.get(b"x-correlation-id", b"").decode("latin-1")
-        worker.ledger.record_post(Run(txn, worker.name, self.other_name, self._sent_at))
+        worker.history.record_post(Run(txn, worker.name, self.other_name, self._sent_at))
         names = [scheme.name.encode() for scheme in worker.plan.scheme]
         class_name = headers.get(b"x-service-class", b"")
         self._job = Job(self, txn, names.index(class_name) if class_name in names else 0)
@@ -219,5 +219,5 @@
         fields = {"state": state, "load": self._worker.load()}
         if state == "done":
             fields["result"] = f"{job.txn} by {self.own_name}"
-            self._worker.ledger.record_result(job.txn, fields["result"].encode())
+            self._worker.history.record_result(job.txn, fields["result"].encode())
         self.send_line(job, fields, last=True)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -5,7 +5,7 @@
 
 from click.testing import CliRunner
 
-from tools.tally import Tally, events, main
+from tools.tally import Tally, main, read_events
 
 N1 = """\
 0.2 {"at":100.0,"node":"n1","event":"worker","worker":"s-1","standing":1,"since":99.0}
@@ -28,13 +28,14 @@
         Path(folder, "n1.log").write_text(N1)
         Path(folder, "n2.log").write_text(N2)
         tally = Tally(2.5)
-        for told in events(Path(folder)):
-            tally.read(told)
+        for told in read_events(Path(folder)):
+            tally.add(told)
         first, second = tally.counts[0], tally.counts[1]
         assert first["took"] == first["post"] == first["post again"] == first["opened"] == 1, first
         assert first["no_connection"] == first["DECLINED"] == 1, first
         assert second["post"] == 1 and second["took"] == 0, second
-        assert tally.sends == {2: 1, 4: 1}, tally.sends  # by age, each by what its scheduler was told
+        # By age, each by what its scheduler was told.
+        assert tally.posts_by_age == {2: 1, 4: 1}, tally.posts_by_age
         shown = CliRunner().invoke(main, [folder])
         assert (
             shown.exit_code == 0 and "learned start, by its own time: 2 times, least" in shown.output
--- a/tests/joined.py
+++ b/tests/joined.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 
 from sableford.fleet.cli import table
-from sableford.rig.disk import HANGS
+from sableford.rig.disk import HUNG_SUFFIX
+from sableford.rig.harness import Harness, Outcome, timeline
 from sableford.rig.plan import HUNG, Fault, read_plan
-from sableford.rig.world import Outcome, World, story
 from sableford.simulation.consensus.walk import Walk
 
 # A txn's time is far beyond what any machine needs, so that none is lost to a busy one.
@@ -45,7 +45,7 @@
 class Door:
     """One caller, one call after the other at one scheduler after the other, and what it saw of one key."""
 
-    def __init__(self, world: World, name: str) -> None:
+    def __init__(self, world: Harness, name: str) -> None:
         self._world, self._name, self.going = world, name, True
         self.writes: dict[str, tuple[float, float, int]] = {}  # by value: asked, answered, entry
         self.reads: list[tuple[float, float, str]] = []
@@ -57,7 +57,7 @@
     async def call(self, scheduler: str, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
         try:
             async with asyncio.timeout(2.5):
-                reader, writer = await asyncio.open_connection(*self._world.doors[scheduler])
+                reader, writer = await asyncio.open_connection(*self._world.console_addresses[scheduler])
                 head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
                 writer.write(head.encode() + body)
                 said = (await reader.read()).decode()
@@ -110,7 +110,7 @@
 class Scene:
     """One run as a test sees it: the rig, three callers at the doors, and what to wait for."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: Harness) -> None:
         self.world = world
         self.doors = [Door(world, f"c{number}") for number in range(3)]
         self.waits_for = "its start"
@@ -141,7 +141,7 @@
         async def known() -> bool:
             nonlocal found
             for name in self.world.hosts:
-                if name != but and self.world.nodes[name].lives():
+                if name != but and self.world.nodes[name].is_running():
                     found = (await self.record(name)).get("leader", "")
                     if found and found != but:
                         return True
@@ -189,10 +189,10 @@
         await self.until(f"{count} more requests served by each", enough)
 
     def _served(self) -> Counter[str]:
-        ledger = self.world.ledger
+        history = self.world.history
         return Counter(
-            ledger.tries[txn].scheduler
-            for txn, answers in ledger.answers.items()
+            history.attempts[txn].scheduler
+            for txn, answers in history.answers.items()
             if any(status == 200 for _, status, _ in answers)
         )
 
@@ -205,21 +205,21 @@
         await self.until(f"{event} of {name} with {said!r}", there)
 
     async def begin(self, what: str, who: str, **more: object) -> Fault:
-        fault = Fault(what, self.world.hours.now(), 1.0, who.split(), **more)
-        self.world.ledger.say(fault.at_ms, "scene", f"{what} begins: {who}")
-        await self.world.act(fault, True)
+        fault = Fault(what, self.world.clock.now(), 1.0, who.split(), **more)
+        self.world.history.record_event(fault.at_ms, "scene", f"{what} begins: {who}")
+        await self.world.apply_fault(fault, True)
         return fault
 
     async def end(self, fault: Fault) -> None:
-        self.world.ledger.say(self.world.hours.now(), "scene", f"{fault.what} ends: {fault.who}")
-        await self.world.act(fault, False)
+        self.world.history.record_event(self.world.clock.now(), "scene", f"{fault.what} ends: {fault.who}")
+        await self.world.apply_fault(fault, False)
 
 
 def joined(text: str, play: Callable[[Scene], Awaitable[None]]) -> tuple[Scene, Outcome, dict[str, str]]:
     """A run with three callers that lasts as long as the scene; how it ended, and each scheduler's log."""
 
     async def run(folder: str) -> tuple[Scene, Outcome, dict[str, str]]:
-        world = World(read_plan(text.encode()), Path(folder))
+        world = Harness(read_plan(text.encode()), Path(folder))
         scene = Scene(world)
         callers = asyncio.gather(*(door.run() for door in scene.doors))
         try:
@@ -233,12 +233,12 @@
             for door in scene.doors:
                 door.going = False
             await callers
-            await world.end()
+            await world.shut_down()
         return scene, outcome, {name: scene.log(name) for name in world.nodes}
 
     with tempfile.TemporaryDirectory() as folder:
         scene, outcome, logs = asyncio.run(run(folder))
-        told = "\n".join(story(scene.world, outcome.wrongs[0].at)) if outcome.wrongs else ""
+        told = "\n".join(timeline(scene.world, outcome.wrongs[0].at)) if outcome.wrongs else ""
     assert not outcome.wrongs and not outcome.ended, (outcome.wrongs[:3], outcome.ended, told[:4000])
     one_order(scene.doors)
     return scene, outcome, logs
@@ -251,7 +251,7 @@
 
 def served(scene: Scene) -> float:
     """The part of all requests that got their answer in time."""
-    return len(scene.world.crowd.outcomes) / scene.world.crowd.asked
+    return len(scene.world.clients.served) / scene.world.clients.sent_count
 
 
 def shows_five_processes_keep_one_order_through_a_killed_a_stopped_and_a_cut_off_leader() -> None:
@@ -295,7 +295,7 @@
 def shows_folders_set_back_emptied_and_of_another_come_back_as_newcomers_and_nothing_is_lost() -> None:
     async def play(scene: Scene) -> None:
         async def copied() -> bool:
-            return all(node.old.exists() for node in scene.world.nodes.values())
+            return all(node.older_copy.exists() for node in scene.world.nodes.values())
 
         await scene.settled()
         await scene.until("a copy of each folder", copied)
@@ -371,7 +371,7 @@
         marks = [node.folder / HUNG for node in scene.world.nodes.values()]
 
         async def two_hang() -> bool:
-            return sum(mark.with_suffix(HANGS).exists() for mark in marks) >= 2
+            return sum(mark.with_suffix(HUNG_SUFFIX).exists() for mark in marks) >= 2
 
         await scene.settled()
         await scene.writes()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -8,9 +8,9 @@
 
 from sableford.net.cli import main
 from sableford.rig.cli import run_harness
-from sableford.rig.ledger import Attempt, Ledger, Run
+from sableford.rig.harness import timeline
+from sableford.rig.history import Attempt, History, Run
 from sableford.rig.plan import KINDS, load, read_plan, schedule
-from sableford.rig.world import story
 
 ALL_KINDS = b"seconds = 9\nschedulers = 6\n[chance]\nfaults = 40\nkinds = [%b]" % b", ".join(
     b'"%b"' % kind.encode() for kind in KINDS
@@ -40,7 +40,7 @@
         assert all(part in result.output for part in (file.name, *parts)), result.output
 
 
-class EditedHistory(Ledger):
+class EditedHistory(History):
     """A sound history of one lookup (r0) and one commit (r1), to which a test adds one violation."""
 
     def __init__(self) -> None:
@@ -66,10 +66,10 @@
     assert EditedHistory().broken() == []
 
     def broken_after(*edits) -> list[str]:
-        ledger = EditedHistory()
+        history = EditedHistory()
         for edit in edits:
-            edit(ledger)
-        return ledger.broken()
+            edit(history)
+        return history.broken()
 
     unanswered = Attempt("r2", 2, "s0", 0, 100.0, 2000.0)
     ran_at = 5000.0
@@ -172,29 +172,31 @@
 
 def shows_three_processes_keep_the_rules_through_a_kill_a_stop_a_cut_and_a_lost_worker() -> None:
     with tempfile.TemporaryDirectory() as folder:
-        world, outcome = asyncio.run(run_harness(read_plan(PROCESSES.encode()), Path(folder)))
-        report = "\n".join(story(world, outcome.wrongs[0].at)) if outcome.wrongs else ""
+        harness, outcome = asyncio.run(run_harness(read_plan(PROCESSES.encode()), Path(folder)))
+        report = "\n".join(timeline(harness, outcome.wrongs[0].at)) if outcome.wrongs else ""
     assert not outcome.wrongs and not outcome.ended, (outcome.wrongs[:3], outcome.ended, report)
     # The process faults and the worker's end took place, and most requests were served nevertheless.
-    events = " ".join(what for _, _, what in world.ledger.events)
+    events = " ".join(what for _, _, what in harness.history.events)
     assert all(part in events for part in ("SIGKILL", "SIGSTOP", "SIGCONT", "die begins")), events
-    assert world.counts()["200"] > 0.8 * len(load(world.plan)), world.counts()
-    assert world.workers["w2"].started_at is not None and world.workers["w2"].up_since > 0.0
+    assert harness.counts()["200"] > 0.8 * len(load(harness.plan)), harness.counts()
+    assert harness.workers["w2"].started_at is not None and harness.workers["w2"].up_since > 0.0
 
 
 def shows_a_worker_that_runs_a_once_only_txn_twice_is_reported_with_its_timeline() -> None:
     async def twice(root: Path):
-        world, outcome = await run_harness(read_plan(b"seconds = 1\nschedulers = 1\n[load]\nrate = 20"), root)
-        txn = next(iter(world.ledger.runs))
-        world.ledger.effects[0] = "unsafe"
-        first = world.ledger.runs[txn][0]
-        world.ledger.record_start(first._replace(worker="w5", at=first.at + 5.0))
-        return world, outcome._replace(wrongs=world.ledger.violations())
+        harness, outcome = await run_harness(
+            read_plan(b"seconds = 1\nschedulers = 1\n[load]\nrate = 20"), root
+        )
+        txn = next(iter(harness.history.runs))
+        harness.history.effects[0] = "unsafe"
+        first = harness.history.runs[txn][0]
+        harness.history.record_start(first._replace(worker="w5", at=first.at + 5.0))
+        return harness, outcome._replace(wrongs=harness.history.violations())
 
     with tempfile.TemporaryDirectory() as folder:
-        world, outcome = asyncio.run(twice(Path(folder)))
+        harness, outcome = asyncio.run(twice(Path(folder)))
         assert [violation.rule for violation in outcome.wrongs] == ["2 twice"] and not outcome.sound()
-        lines = story(world, outcome.wrongs[0].at)
+        lines = timeline(harness, outcome.wrongs[0].at)
     txn = outcome.wrongs[0].about
     assert [line for line in lines if f"clients send {txn}" in line], lines[:5]
     assert [line for line in lines if f"says post id={txn}" in line], lines[:5]  # the scheduler's own log
--- a/tools/tally.py
+++ b/tools/tally.py
@@ -14,7 +14,7 @@
 import orjson
 
 
-def events(place: Path) -> list[dict]:
+def read_events(place: Path) -> list[dict]:
     """All log entries of all schedulers, ordered by time. Other lines are skipped."""
     entries = []
     for path in sorted(place.glob("*.log")):
@@ -39,11 +39,11 @@
         self.spans: dict[tuple[int, str], list[float]] = defaultdict(list)
         self.learned: dict[tuple[str, int, float], list[float]] = defaultdict(list)
         self.known_starts: dict[tuple[str, str], float] = {}
-        self.sends: Counter = Counter()  # by the age of the worker in whole seconds
+        self.posts_by_age: Counter = Counter()  # by the age of the worker in whole seconds
         self._taken_at: dict[tuple[str, str], float] = {}
         self._posted_at: dict[tuple[str, str], float] = {}
 
-    def read(self, entry: dict) -> None:
+    def add(self, entry: dict) -> None:
         self.origin = self.origin or entry["at"]
         name, at, node = entry["event"], entry["at"] - self.origin, entry["node"]
         count = self.counts[int(at / self.step)]
@@ -78,7 +78,7 @@
         if since > 0.0:
             age = entry["at"] - since
             count["to a started one"] += 1
-            self.sends[int(age)] += 1
+            self.posts_by_age[int(age)] += 1
 
     def show(self) -> None:
         skipped = {"belief", "closed", "ready", "serving", "worker"}
@@ -92,7 +92,7 @@
             ]
             counts = [f"{name} {count[name]}" for name in names if count[name]]
             click.echo(f"{at * self.step:6.1f} s  " + ", ".join(counts + spans))
-        click.echo("posted to workers by seconds since their start: " + _format_counts(self.sends))
+        click.echo("posted to workers by seconds since their start: " + _format_counts(self.posts_by_age))
         self._show_learned()
 
     def _show_learned(self) -> None:
@@ -125,8 +125,8 @@
 def main(place: Path, step: float) -> None:
     """Count what all schedulers did, from their logs."""
     tally = Tally(step)
-    for entry in events(place):
-        tally.read(entry)
+    for entry in read_events(place):
+        tally.add(entry)
     tally.show()
 
 
