--- a/sableford/rig/plan.py
+++ b/sableford/rig/plan.py
@@ -67,7 +67,7 @@
     effect: str  # safe, keyed or unsafe
     run_ms: float
     part: float = 1.0  # weight among the schemes
-    sla_ms: float = 500.0
+    sla_ms: float = 500.0  # a request served within this counts as in time
     expiry_ms: float = 2000.0
     earnings: float = 1.0
     slots: float = 1.0
@@ -79,10 +79,10 @@
     count: int = 6
     slots: int = 2
     zones: int = 1
-    start_capacity: float = 0.2
-    warm_ms: float = 4000.0
-    overload_factor: float = 2.5
-    fall_ms: float = 2000.0
+    start_capacity: float = 0.2  # fraction of the full capacity right after a start
+    warm_ms: float = 4000.0  # time to warm up from start_capacity to full capacity
+    overload_factor: float = 2.5  # a worker that warms up dies if sent more than this times its capacity
+    fall_ms: float = 2000.0  # window over which that work is summed
     told_ms: float = 300.0  # delay until the worker list shows a change
 
 
@@ -90,8 +90,8 @@
     """`[load]`: the traffic of the clients."""
 
     rate: float = 100.0  # requests per second of all schemes
-    retries: int = 3
-    time_left_ms: float = 2000.0
+    retries: int = 3  # attempts of a request after the first
+    time_left_ms: float = 2000.0  # deadline of an attempt, limited by the scheme's expiry_ms
 
 
 class RandomFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -104,7 +104,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A plan file."""
+    """The contents of a plan file."""
 
     seconds: float
     seed: int = 1
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -18,9 +18,9 @@
 
 
 def shows_the_same_file_and_seed_give_the_same_schedule_and_load_and_another_seed_others() -> None:
-    one, two, other = read_plan(ALL_KINDS), read_plan(ALL_KINDS), read_plan(ALL_KINDS, 2)
-    assert schedule(one) == schedule(two) != schedule(other) and load(one) == load(two) != load(other)
-    assert {fault.what for fault in schedule(one)} > {"hang", "cut"} and len(schedule(one)) == 40
+    first, same, other = read_plan(ALL_KINDS), read_plan(ALL_KINDS), read_plan(ALL_KINDS, 2)
+    assert schedule(first) == schedule(same) != schedule(other) and load(first) == load(same) != load(other)
+    assert {fault.what for fault in schedule(first)} > {"hang", "cut"} and len(schedule(first)) == 40
 
 
 def shows_a_bad_file_is_named_with_its_field_and_exit_2() -> None:
@@ -73,22 +73,24 @@
 
     unanswered = Attempt("r2", 2, "s0", 0, 100.0, 2000.0)
     ran_at = 5000.0
-    assert broken_after(lambda it: it.record_attempt(unanswered)) == ["1 answer"]  # none at all
+    # No answer, a late one, and two answers.
+    assert broken_after(lambda it: it.record_attempt(unanswered)) == ["1 answer"]
     assert broken_after(
         lambda it: (it.record_attempt(unanswered), it.record_answer("r2", 2900.0, 503, b""))
     ) == ["1 answer"]
-    assert broken_after(lambda it: it.record_answer("r0", 300.0, 200, b"made")) == ["1 answer"]  # two answers
-    assert broken_after(lambda it: it.ran("r0", "w1", 900.0, False)) == [
-        "1 answer"
-    ]  # sent to a worker after its answer
+    assert broken_after(lambda it: it.record_answer("r0", 300.0, 200, b"made")) == ["1 answer"]
+    # Sent to a worker after its answer.
+    assert broken_after(lambda it: it.ran("r0", "w1", 900.0, False)) == ["1 answer"]
+    # A result that no worker returned.
     assert broken_after(lambda it: (it.answers["r0"].clear(), it.record_answer("r0", 200.0, 200, b"?"))) == [
         "1 answer"
     ]
+    # An unsafe txn that ran twice, one that ran although it was declined, and one that no client sent.
     assert broken_after(lambda it: it.ran("r1", "w1", 150.0)) == ["2 twice"]
     assert broken_after(lambda it: (it.answers["r1"].clear(), it.record_answer("r1", 300.0, 503, b""))) == [
         "2 twice"
     ]
-    assert broken_after(lambda it: it.ran("r9", "w1", 150.0)) == ["2 twice"]  # sent by no client
+    assert broken_after(lambda it: it.ran("r9", "w1", 150.0)) == ["2 twice"]
     stop_sending = lambda it: it.record_sendable("s0", "w0", 1000.0, False)  # noqa: E731
     stop_again = lambda it: it.record_sendable("s0", "w0", 4900.0, False)  # noqa: E731
     late_run = lambda it: (  # noqa: E731
@@ -97,23 +99,16 @@
         it.record_result("r3", b"made"),
         it.record_answer("r3", ran_at + 100.0, 200, b"made"),
     )
-    assert broken_after(stop_sending, late_run) == ["3 drain"] and broken_after(
-        stop_sending, stop_again, late_run
-    ) == ["3 drain"]
-    assert (
-        broken_after(late_run) == []
-        and broken_after(stop_sending, lambda it: it.record_sendable("s0", "w0", 4900.0, True), late_run)
-        == []
-    )
+    resume_sending = lambda it: it.record_sendable("s0", "w0", 4900.0, True)  # noqa: E731
+    # A repeated notice to stop doesn't extend the grace period; one that sending is allowed ends it.
+    assert broken_after(stop_sending, late_run) == ["3 drain"]
+    assert broken_after(stop_sending, stop_again, late_run) == ["3 drain"]
+    assert broken_after(late_run) == []
+    assert broken_after(stop_sending, resume_sending, late_run) == []
     assert broken_after(lambda it: it.overloads.append((9.0, "w0", 3.0))) == ["4 cold"]
     # No answer is owed by a scheduler that was killed or suspended meanwhile.
-    assert (
-        broken_after(
-            lambda it: it.record_attempt(unanswered),
-            lambda it: it.record_unavailable("s0", 500.0, 900.0, "killed"),
-        )
-        == []
-    )
+    killed = lambda it: it.record_unavailable("s0", 500.0, 900.0, "killed")  # noqa: E731
+    assert broken_after(lambda it: it.record_attempt(unanswered), killed) == []
 
 
 PROCESSES = """
