--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -37,7 +37,7 @@
     if found.name not in NO_TESTS
 ]
 # Modules whose tests use processes, threads or sockets, and run alone.
-EXCLUSIVE = {
+EXCLUSIVE_MODULES = {
     f"tests.{name}"
     for name in (
         "command",
@@ -74,7 +74,7 @@
         for name, check in list(vars(module).items()):
             if name.startswith("shows_"):
                 title = f"{module.__name__}: {name[6:].replace('_', ' ')}"
-                yield Test(title, check, exclusive=module.__name__ in EXCLUSIVE)
+                yield Test(title, check, exclusive=module.__name__ in EXCLUSIVE_MODULES)
 
 
 def main() -> int:
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -84,7 +84,7 @@
         raise KnownRedError(f"{location}: the issue is not a number: {issue!r}")
     if test not in titles:
         raise KnownRedError(f"{location}: no test is called {test!r}")
-    if any(one.test == test for one in earlier):
+    if any(entry.test == test for entry in earlier):
         raise KnownRedError(f"{location}: listed twice: {test!r}")
     return KnownRed(test, command, seen, int(issue))
 
@@ -92,7 +92,7 @@
 def summarize(results: Sequence[Result], known: Sequence[KnownRed]) -> Summary:
     """Summarizes a run. A listed test is printed with its outcome but not counted as passed or failed: a
     flaky one may pass, and is removed from the list only by its fix."""
-    known_by_title = {one.test: one for one in known}
+    known_by_title = {entry.test: entry for entry in known}
     lines: list[str] = []
     passed = failed = 0
     for result in results:
@@ -164,7 +164,7 @@
     except BrokenProcessPool:
         print(f"FAILED: a test ended its process, or took over {TEST_TIMEOUT_S:.0f} s (see its stack above)")
         return 1
-    for result in sorted(results, key=lambda one: -one.seconds)[:slowest]:
+    for result in sorted(results, key=lambda result: -result.seconds)[:slowest]:
         print(f"{result.seconds:8.2f} s  {result.title}")
     summary = summarize(results, known)
     print("\n".join(summary.lines))
--- a/tests/running.py
+++ b/tests/running.py
@@ -24,15 +24,15 @@
     raise AssertionError(known)
 
 
-def shows_known_red_lists_tests_each_with_command_what_was_seen_and_issue() -> None:
+def shows_known_red_lists_tests_each_with_command_symptom_and_issue() -> None:
     assert read_known_red("", TITLES) == ()
     expected = KnownRed("module: test 1", COMMAND, "a lost message", 54)
     assert read_known_red(f"\n{LINE}\n", TITLES) == (expected,)
     every = "".join(f"{title} | a command | seen | 7\n" for title in TITLES)
-    assert [one.test for one in read_known_red(every, TITLES)] == TITLES
+    assert [entry.test for entry in read_known_red(every, TITLES)] == TITLES
 
 
-def shows_a_bad_line_of_known_red_is_told_in_one_line_with_its_number() -> None:
+def shows_a_malformed_line_of_known_red_is_reported_in_one_line_with_its_number() -> None:
     for line, expected in (
         ("module: test 1", "not `test"),
         ("module: test 1 | a race in some.py | 54", "not `test"),
@@ -61,7 +61,7 @@
     assert not summary.failed
 
 
-def shows_a_listed_test_that_passes_once_is_printed_and_counts_neither_way() -> None:
+def shows_a_listed_test_that_passes_is_printed_and_not_counted() -> None:
     summary = summarize([Result(TITLES[0]), Result(TITLES[1])], read_known_red(LINE, TITLES))
     assert summary.lines == (
         "KNOWN RED module: test 1: passed: a lost message (issue 54)",
@@ -86,14 +86,14 @@
     assert summarize([], ()).failed and summarize([], ()).lines == ("0 passed, 0 failed",)
 
 
-def shows_tests_that_run_alone_come_after_all_that_run_at_once_and_none_is_left_out() -> None:
+def shows_exclusive_tests_run_after_all_parallel_ones_and_none_is_omitted() -> None:
     tests = [Test(title, lambda: None, exclusive=number in (1, 3)) for number, title in enumerate(TITLES)]
     parallel, exclusive = split_exclusive(tests)
     assert [test.title for test in parallel] == [TITLES[0], TITLES[2], TITLES[4]]
     assert [test.title for test in exclusive] == [TITLES[1], TITLES[3]]
 
 
-def shows_a_test_that_raises_is_a_result_with_what_it_raised() -> None:
+def shows_a_test_that_raises_fails_with_its_exception() -> None:
     def fail() -> None:
         raise KeyError("x")
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -18,13 +18,13 @@
 def first_seed_with(*kinds: str) -> int:
     """The first seed whose scenario has a series of each kind."""
     number = 1
-    while not set(kinds) <= {one.kind for one in make_plan(number, TRAFFIC_S).series}:
+    while not set(kinds) <= {series.kind for series in make_plan(number, TRAFFIC_S).series}:
         number += 1
     return number
 
 
 # Guards against lost requests and repeated runs when edges and stores are restarted under traffic.
-def shows_planned_work_on_edges_and_stores_loses_and_repeats_nothing() -> None:
+def shows_planned_restarts_of_edges_and_stores_lose_and_repeat_nothing() -> None:
     run_seed(first_seed_with("roll edges", "roll stores"))
 
 
--- a/tests/soaking/actions.py
+++ b/tests/soaking/actions.py
@@ -142,7 +142,9 @@
 async def crash_workers(actions: Actions, series: Series, random: Random) -> None:
     worker = random.choice(actions.worker_pool.active)
     others = [
-        one for one in actions.worker_pool.active if one.service == worker.service and one is not worker
+        other
+        for other in actions.worker_pool.active
+        if other.service == worker.service and other is not worker
     ]
     service = random.choice(SERVICES) if others else worker.service
     pause = ADDRESS_REUSE_S + random.uniform(*PAUSE_S)
--- a/tests/soaking/checker.py
+++ b/tests/soaking/checker.py
@@ -48,21 +48,23 @@
     def in_force(self, sent_at: float, until: float) -> list[Version]:
         """Versions that may apply to a request sent at `sent_at` and handled by `until`: those not rejected,
         from the newest revision that was acknowledged more than APPLY_S before `sent_at`."""
-        candidates = [one for one in self.history.versions if not one.rejected and one.sent_at <= until]
+        candidates = [
+            version for version in self.history.versions if not version.rejected and version.sent_at <= until
+        ]
         applied = [
-            one.revision
-            for one in candidates
-            if one.acknowledged_at is not None and one.acknowledged_at + APPLY_S < sent_at
+            version.revision
+            for version in candidates
+            if version.acknowledged_at is not None and version.acknowledged_at + APPLY_S < sent_at
         ]
-        return [one for one in candidates if one.revision >= max(applied, default=0)]
+        return [version for version in candidates if version.revision >= max(applied, default=0)]
 
     def route_was_dropped(self, message: SentMessage, until: float) -> bool:
         """Whether a configuration that may have been in force by `until` had dropped the message's route."""
-        first = min(one.revision for one in self.in_force(message.sent_at, message.responded_at))
+        first = min(version.revision for version in self.in_force(message.sent_at, message.responded_at))
         return any(
-            matching_route(one.document, message.path) is None
-            for one in self.history.versions
-            if not one.rejected and one.revision > first and one.sent_at <= until
+            matching_route(version.document, message.path) is None
+            for version in self.history.versions
+            if not version.rejected and version.revision > first and version.sent_at <= until
         )
 
     # Rules
@@ -75,9 +77,11 @@
             if message.accepted and refs.setdefault(message.ref, message.id) != message.id:
                 yield f"MIXED {message.id} and {refs[message.ref]} have the same reference {message.ref}"
             versions = self.in_force(message.sent_at, message.responded_at)
-            allowed = {expected_response(one.document, message.path, message.key)[0] for one in versions}
+            allowed = {
+                expected_response(version.document, message.path, message.key)[0] for version in versions
+            }
             if message.status in CONFIGURATION_STATUSES and message.status not in allowed:
-                numbers = [one.revision for one in versions]
+                numbers = [version.revision for version in versions]
                 yield (
                     f"CONFIG {message.id} at {message.edge}: "
                     f"{message.status}; {numbers} allow {sorted(allowed)}"
@@ -94,7 +98,7 @@
                 yield f"ANSWER {query.id}: state query returned {query.status}"
             if query.status == 404 and not self.route_was_dropped(message, query.responded_at):
                 yield f"LOST {query.id}: state query returned 404"
-            if query.status == 401 and all(self._may_query(one, message) for one in versions):
+            if query.status == 401 and all(self._may_query(version, message) for version in versions):
                 yield f"CONFIG {query.id}: state query returned 401 for a valid key"
             if query.phase == "complete" and query.seal not in self._seals(query.id, query.responded_at):
                 yield f"MIXED {query.id}: complete with {query.seal!r}, which no run had returned by then"
@@ -120,16 +124,16 @@
             if message is None:
                 continue  # reported on arrival, by WorkerPool.check_request
             versions = self.in_force(message.sent_at, run.started_at)
-            routes = [matching_route(one.document, message.path) for one in versions]
-            if run.service not in {one["backend"] for one in routes if one is not None}:
-                numbers = [one.revision for one in versions]
+            routes = [matching_route(version.document, message.path) for version in versions]
+            if run.service not in {route["backend"] for route in routes if route is not None}:
+                numbers = [version.revision for version in versions]
                 yield f"ROUTE {run.id}: run by {run.service} at {run.worker}, by none of {numbers}"
             if run.started_at < message.sent_at + message.delay_ms / 1000.0 - NOT_BEFORE_S:
                 yield f"EARLY {run.id}: {run.started_at - message.sent_at:.3f} s after it was sent"
             yield from self._check_tenant(message, versions)
 
     def _check_tenant(self, message: SentMessage, versions: list[Version]) -> Iterator[str]:
-        allowed = {expected_response(one.document, message.path, message.key) for one in versions}
+        allowed = {expected_response(version.document, message.path, message.key) for version in versions}
         tenants = {tenant for status, tenant in allowed if status == 202}
         if not tenants:
             yield f"ROUTE {message.id}: run with the key {message.key!r}, which no version in force has"
--- a/tests/soaking/clients.py
+++ b/tests/soaking/clients.py
@@ -24,12 +24,12 @@
 
 class Client:
     def __init__(self, client_pool: "ClientPool", number: int) -> None:
-        self.client_pool, self.number, self.count = client_pool, number, 0
+        self.client_pool, self.number, self.message_count = client_pool, number, 0
         self.random = Random(f"client {client_pool.seed} {number}")
         self._connection: Connection | None = None
         self._node: Node | None = None
         self._incarnation: Incarnation | None = None
-        self._accepted_messages: list[SentMessage] = []  # messages accepted by the system
+        self._accepted_messages: list[SentMessage] = []
 
     async def run(self) -> None:
         while self.client_pool.is_running:
@@ -66,16 +66,16 @@
         """Generates the next message."""
         random, node = self.random, self._node
         assert node is not None
-        self.count += 1
+        self.message_count += 1
         number = random.randrange(ROUTES)
         kind = random.choice(POISON) if random.random() < POISON_SHARE else "plain"
         order_key = f"k{random.randrange(ORDER_KEYS)}" if is_fifo(number) else ""
         delayed = not order_key and random.random() < DELAYED_SHARE
         return SentMessage(
-            id=f"m{self.number}.{kind}.{self.count}",
+            id=f"m{self.number}.{kind}.{self.message_count}",
             edge=node.name,
             method="POST",
-            path=f"{path_prefix(number)}{random.randrange(100)}?q={self.count}",
+            path=f"{path_prefix(number)}{random.randrange(100)}?q={self.message_count}",
             body=random.randbytes(random.randrange(MAX_BODY_BYTES) if random.random() < 0.3 else 40),
             key=self._key(number),
             order_key=order_key,
@@ -86,8 +86,8 @@
     def always_valid_message(self) -> SentMessage:
         """Generates a message that every configuration allows and every worker handles successfully."""
         assert self._node is not None
-        self.count += 1
-        id, key = f"m{self.number}.plain.{self.count}", f"tenant-0.{FINAL_KEY}"
+        self.message_count += 1
+        id, key = f"m{self.number}.plain.{self.message_count}", f"tenant-0.{FINAL_KEY}"
         return SentMessage(id, self._node.name, "POST", f"{path_prefix(0)}sure", b"", key, "", 0.0, 0.0)
 
     def _key(self, route: int) -> str:
@@ -98,7 +98,7 @@
         if is_public(route) and random.random() < 0.5:
             return ""
         version = random.choice(self.client_pool.history.versions[-4:])
-        keys = [key for one in version.document["tenants"] for key in one["apiKeys"]]
+        keys = [key for tenant in version.document["tenants"] for key in tenant["apiKeys"]]
         return random.choice(keys) if keys else ""
 
     async def send(self, message: SentMessage) -> None:
--- a/tests/soaking/configurations.py
+++ b/tests/soaking/configurations.py
@@ -118,11 +118,11 @@
     def _apply(self, kind: str, new: dict) -> tuple[str, set[str]]:
         """Returns the section that changed, and the names of the items that were added or changed."""
         random, routes, tenants = self.random, new["routes"], new["tenants"]
-        missing = [n for n in range(ROUTES) if f"route-{n}" not in {one["name"] for one in routes}]
+        missing = [n for n in range(ROUTES) if f"route-{n}" not in {item["name"] for item in routes}]
         if kind == "add route" and missing:
             routes.append(route(random.choice(missing), random.choice(SERVICES)))
             return "routes", {routes[-1]["name"]}
-        droppable = [one for one in routes if one["name"] not in PERMANENT_ROUTES]
+        droppable = [item for item in routes if item["name"] not in PERMANENT_ROUTES]
         if kind == "drop route" and droppable:
             routes.remove(random.choice(droppable))
             return "routes", set()
@@ -130,18 +130,18 @@
             tenants.pop(random.randrange(len(tenants)))
             return "tenants", set()
         if kind == "new tenant" and len(tenants) < TENANTS:
-            names = {one["name"] for one in tenants}
+            names = {item["name"] for item in tenants}
             number = random.choice([n for n in range(TENANTS) if f"tenant-{n}" not in names])
             tenants.append(tenant(number, [self._new_key(number)]))
             return "tenants", {tenants[-1]["name"]}
         if kind in ("add key", "revoke key") and tenants:
-            one = random.choice(tenants)
-            number = int(one["name"].rpartition("-")[2])
-            if kind == "add key" or not one["apiKeys"]:
-                one["apiKeys"].append(self._new_key(number))
+            item = random.choice(tenants)
+            number = int(item["name"].rpartition("-")[2])
+            if kind == "add key" or not item["apiKeys"]:
+                item["apiKeys"].append(self._new_key(number))
             else:
-                one["apiKeys"].pop(random.randrange(len(one["apiKeys"])))
-            return "tenants", {one["name"]}
+                item["apiKeys"].pop(random.randrange(len(item["apiKeys"])))
+            return "tenants", {item["name"]}
         if kind in ("add service", "change service"):
             return "backends", self._change_service(kind, new["backends"])
         if kind == "time route":
@@ -194,12 +194,12 @@
     """The last configuration: every tenant has a known key, so that all message states can be queried."""
     new = deepcopy(base)
     new["revision"] = base["revision"] + 1
-    names = {one["name"] for one in new["tenants"]}
+    names = {item["name"] for item in new["tenants"]}
     for number in range(TENANTS):
         if f"tenant-{number}" not in names:
             new["tenants"].append(tenant(number, []))
-    for one in new["tenants"]:
-        one["apiKeys"].append(f"{one['name']}.{FINAL_KEY}")
+    for item in new["tenants"]:
+        item["apiKeys"].append(f"{item['name']}.{FINAL_KEY}")
     return new
 
 
@@ -207,11 +207,11 @@
 
 
 def matching_route(document: dict, path: str) -> dict | None:
-    return next((one for one in document["routes"] if path.startswith(one["pathPrefix"])), None)
+    return next((item for item in document["routes"] if path.startswith(item["pathPrefix"])), None)
 
 
 def has_key(document: dict, key: str) -> bool:
-    return bool(key) and any(key in one["apiKeys"] for one in document["tenants"])
+    return bool(key) and any(key in item["apiKeys"] for item in document["tenants"])
 
 
 def expected_response(document: dict, path: str, key: str) -> tuple[int, str]:
@@ -229,4 +229,4 @@
 def normalized(document: dict) -> dict:
     """A form for comparison: named items are sorted, since their order has no meaning."""
     parts = ("routes", "backends", "tenants")
-    return document | {part: sorted(document[part], key=lambda one: one["name"]) for part in parts}
+    return document | {part: sorted(document[part], key=lambda item: item["name"]) for part in parts}
--- a/tests/soaking/fleet.py
+++ b/tests/soaking/fleet.py
@@ -172,14 +172,14 @@
         self.folder, self.history = folder, history
         self.tasks: set[asyncio.Task] = set()
         net = network()
-        self.store_hosts = [f"{net}.{at + 1}" for at in range(stores)]
+        self.store_hosts = [f"{net}.{index + 1}" for index in range(stores)]
         self.stores = [
-            Node(self, f"store-{at + 1}", "store", host, f"zone-{at % ZONES}")
-            for at, host in enumerate(self.store_hosts)
+            Node(self, f"store-{index + 1}", "store", host, f"zone-{index % ZONES}")
+            for index, host in enumerate(self.store_hosts)
         ]
         self.edges = [
-            Node(self, f"edge-{at + 1}", "edge", f"{net}.{20 + at}", f"zone-{at % ZONES}")
-            for at in range(edges)
+            Node(self, f"edge-{index + 1}", "edge", f"{net}.{20 + index}", f"zone-{index % ZONES}")
+            for index in range(edges)
         ]
 
     @property
--- a/tests/soaking/operator.py
+++ b/tests/soaking/operator.py
@@ -51,9 +51,9 @@
         changes[1].document["revision"] = changes[0].document["revision"] + 1
         if changes[1].amendment is not None:
             changes[1].amendment["revision"] = changes[1].document["revision"]
-        versions = await asyncio.gather(*(self._send(one, base["revision"]) for one in changes))
-        if all(one.acknowledged_at is not None for one in versions):
-            numbers = [one.revision for one in versions]
+        versions = await asyncio.gather(*(self._send(change, base["revision"]) for change in changes))
+        if all(version.acknowledged_at is not None for version in versions):
+            numbers = [version.revision for version in versions]
             self.history.add_violation(
                 f"CONFIG two concurrent changes on {base['revision']} were both acknowledged: {numbers}"
             )
--- a/tests/soaking/plan.py
+++ b/tests/soaking/plan.py
@@ -39,7 +39,7 @@
 
     def summary(self) -> str:
         """A short description, on one line."""
-        kinds = ", ".join(sorted(one.kind + ("*" if one.overlaps else "") for one in self.series))
+        kinds = ", ".join(sorted(entry.kind + ("*" if entry.overlaps else "") for entry in self.series))
         workers = "faulty workers" if self.has_faulty_workers else "reliable workers"
         return f"{self.stores} stores, {self.edges} edges, {workers}; {kinds}"
 
--- a/tests/soaking/scenario.py
+++ b/tests/soaking/scenario.py
@@ -92,7 +92,7 @@
         await self.fleet.stop(SHUTDOWN_TIMEOUT_S)
 
     async def _run_traffic(self) -> None:
-        series = [self.fleet.spawn(self.actions.run_series(one)) for one in self.plan.series]
+        series = [self.fleet.spawn(self.actions.run_series(item)) for item in self.plan.series]
         operator = self.fleet.spawn(self.operator.run())
         clients = self.fleet.spawn(self.client_pool.run())
         await asyncio.sleep(self.plan.seconds)
@@ -170,7 +170,7 @@
 
     async def _check_other_tenants(self, message: SentMessage, tenant: str) -> None:
         """Checks that neither another tenant's key nor a request without a key can read the state."""
-        names = [one["name"] for one in self.operator.newest.document["tenants"]]
+        names = [item["name"] for item in self.operator.newest.document["tenants"]]
         other = self.random.choice([f"{name}.{FINAL_KEY}" for name in names if name != tenant] + [""])
         assert tenant_of_key(other) != tenant
         response = await self._get("/v1/message/", message.ref, other)
--- a/tests/soaking/workers.py
+++ b/tests/soaking/workers.py
@@ -12,7 +12,7 @@
 from tests.soaking.history import History, Run, now
 
 HOST_NUMBER = 240
-CAPACITY, QUEUE = 4, 4
+CAPACITY, QUEUE_LIMIT = 4, 4
 HEARTBEAT_INTERVAL_S = 0.6
 HEARTBEAT_TIMEOUT_S = 1.0
 RUN_S = (0.002, 0.06)
@@ -124,7 +124,7 @@
             return None
         self.worker_pool.check_request(self, method, target, body, headers)
         outcome = self.worker_pool.outcome(id)
-        if self.waiting >= QUEUE or outcome == "rejected":
+        if self.waiting >= QUEUE_LIMIT or outcome == "rejected":
             self._respond(writer, 503, id, {"Not-Run": "1"})
             return None
         return await self._run(id, outcome, reader, writer)
@@ -212,14 +212,14 @@
         random = Random(f"{self.seed} {id} {number}")
         if self.faults_disabled:
             return "done"
-        drawn = random.random()
+        sample = random.random()
         outcomes = [("failed", 0.05), ("rejected", 0.04), ("slow", 0.03)]
         if self.has_faulty_workers:
             outcomes += [("connection dropped", 0.03), ("truncated response", 0.02), ("no response", 0.01)]
         for outcome, share in outcomes:
-            if drawn < share:
+            if sample < share:
                 return outcome
-            drawn -= share
+            sample -= share
         return "done"
 
     def check_request(
