--- a/sableford/control/duty_manager.py
+++ b/sableford/control/duty_manager.py
@@ -17,7 +17,7 @@
 from sableford.control.record_driver import RecordDriver
 from sableford.duties import state as duty_state
 from sableford.duties.messages import DutyNotice
-from sableford.duties.state import MAX_OWED_WINDOWS, DutyState
+from sableford.duties.state import MAX_PENDING_WINDOWS, DutyState
 from sableford.duties.succession import Candidate, RecentHolders, next_holder, reason_to_change
 from sableford.duties.usage_counts import UsageStatus
 from sableford.duties.usage_ledger import UsageLedger
@@ -65,7 +65,7 @@
         before, self._index = self.state, value.index
         self.state = DutyState.load(value.data)
         self._recent_holders.observe(self._now(), self.state)
-        self._ledger.sealed(self.state.sealed_until)
+        self._ledger.mark_sealed(self.state.sealed_until)
         if self._leads():
             self._notify_stores(before)
             self._log_change(before)
@@ -79,7 +79,7 @@
     def status_received(self, status: MemberStatus) -> None:
         """Takes the status that a member reports with a join or a renewal."""
         if status.usage or status.usage_settled:
-            self._ledger.heard(status.incarnation, UsageStatus(status.usage, status.usage_settled))
+            self._ledger.add_report(status.incarnation, UsageStatus(status.usage, status.usage_settled))
         report = status.duties.get(self._duty)
         if report is None or report.epoch != self.state.epoch:
             return
@@ -120,12 +120,12 @@
         if not reason:
             return state
         candidates = {name: self._candidate(name) for name, one in members.items() if one.registered}
-        chosen = next_holder(self._duty, state, candidates, self._recent_holders.barred(now))
+        chosen = next_holder(self._duty, state, candidates, self._recent_holders.excluded(now))
         if chosen is None:
             return state
         self._reason = reason
         if not state.sealed_until:
-            state = duty_state.begins(self._ledger.window_at(unix_ms))
+            state = duty_state.initial_state(self._ledger.window_at(unix_ms))
         return duty_state.with_holder(state, chosen.host, chosen.node, chosen.incarnation, unix_ms)
 
     def _candidate(self, name: str) -> Candidate:
@@ -138,7 +138,7 @@
         if not state.epoch:
             return state
         present = [one.incarnation for one in self._coordinator.members.values() if one.role == "store"]
-        newest = self._ledger.window_at(unix_ms) - MAX_OWED_WINDOWS
+        newest = self._ledger.window_at(unix_ms) - MAX_PENDING_WINDOWS
         if newest > state.sealed_until and self._may_seal(newest, unix_ms, present):
             state = duty_state.skipped_to(state, newest)
         window = state.sealed_until + 1
@@ -153,7 +153,7 @@
     def _absent_may_have_counted(self, window: int) -> bool:
         """Whether an absent store of the roster may have counted usage in that window: it was a member after
         the window began, or has not joined this leader yet."""
-        members, began_at = self._coordinator.members, self._ledger.begins_at(window)
+        members, began_at = self._coordinator.members, self._ledger.start_of(window)
         return any(
             name not in members and self._member_until.get(name, self._leads_since) >= began_at
             for name in self._coordinator.roster
--- a/sableford/duties/__init__.py
+++ b/sableford/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties at the platform: calls about one subject that one store at a time makes (`docs/duties.md`)."""
+"""Duties: reports to the platform, sent by one store at a time under a fencing token (`docs/duties.md`)."""
--- a/sableford/duties/duty_holder.py
+++ b/sableford/duties/duty_holder.py
@@ -1,34 +1,35 @@
-"""Makes the calls of a duty that this store holds: one at a time, in order, within the platform's rate."""
+"""Sends the reports of a duty that this store holds: one at a time, in order, within the rate limit."""
 
 import asyncio
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
 from sableford.common.log import EventLog
-from sableford.duties.holding import Call, Holding
+from sableford.duties.assignment import Call, DutyAssignment
 from sableford.duties.messages import DutyNotice, DutyReport
 from sableford.duties.platform_client import CallOutcome, Verdict
 
-RATE_PART = 0.5  # of the platform's rate: a holder that was followed may have spent the rest
-BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 1600.0  # before a call that did not succeed is made again, doubling
-TIMEOUT_MS, MAX_TIMEOUT_MS = 2000.0, 8000.0  # of a call, doubling: a slow platform is waited for
-LOOK_AGAIN_MS = 50.0  # while this store has the duty and holds no lease
+RATE_FRACTION = 0.5  # of the platform's rate limit: a previous holder may use the rest
+BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 1600.0  # before a failed call is retried, doubling
+TIMEOUT_MS, MAX_TIMEOUT_MS = 2000.0, 8000.0  # of a call, doubling, so that a slow platform can answer
+RECHECK_MS = 50.0  # while this store holds the duty but no lease
 
 
 class Client(Protocol):
-    """The way to the platform."""
+    """Connection to the platform."""
 
     async def post(self, call: Call, timeout_ms: float, may_send: Callable[[], bool]) -> CallOutcome:
-        """One call."""
+        """Makes one call."""
 
 
 class DutyHolder:
-    """`holds_lease` and `leaving` are looked at just before each call; `on_refused` is told at once."""
+    """`holds_lease` and `leaving` are checked immediately before each call; `on_refused` is called when the
+    platform refuses one."""
 
     def __init__(
         self,
         duty: str,
-        holding: Holding,
+        assignment: DutyAssignment,
         client: Client,
         rate_per_s: float,
         holds_lease: Callable[[], bool],
@@ -36,61 +37,61 @@
         on_refused: Callable[[], object],
         log: EventLog,
     ) -> None:
-        self.duty, self._holding, self._client = duty, holding, client
-        self._spacing_ms = 1000.0 / (rate_per_s * RATE_PART)
+        self.duty, self._assignment, self._client = duty, assignment, client
+        self._spacing_ms = 1000.0 / (rate_per_s * RATE_FRACTION)
         self._holds_lease, self._leaving = holds_lease, leaving
         self._on_refused, self._log = on_refused, log
         self._wake = asyncio.Event()
-        self._failures = 0  # in a row
+        self._failures = 0  # consecutive
 
-    def heard(self, notices: Iterable[DutyNotice]) -> None:
-        """What the leader tells of duties."""
+    def handle_notices(self, notices: Iterable[DutyNotice]) -> None:
+        """Applies notices from the leader."""
         for notice in notices:
             if notice.duty == self.duty:
-                self._holding.heard(notice)
+                self._assignment.apply_notice(notice)
                 self._wake.set()
 
     def reports(self) -> dict[str, DutyReport]:
-        """For the leader."""
-        report = self._holding.report()
+        """Returns the reports to the leader, by duty."""
+        report = self._assignment.report()
         return {self.duty: report} if report is not None else {}
 
     async def run(self) -> None:
-        """For the life of the process."""
+        """Runs until the process ends."""
         while True:
             await asyncio.sleep(await self._step() / 1000.0)
 
     async def _step(self) -> float:
-        """What is next; how many ms to wait after it."""
-        call = self._holding.next_call()
+        """Makes the next call; returns the ms to wait after it."""
+        call = self._assignment.next_call()
         if call is None:
             self._failures = 0
             self._wake.clear()
             await self._wake.wait()
             return 0.0
         if not self._may_send(call):
-            return LOOK_AGAIN_MS
+            return RECHECK_MS
         timeout_ms = min(MAX_TIMEOUT_MS, TIMEOUT_MS * 2.0**self._failures)
         outcome = await self._client.post(call, timeout_ms, lambda: self._may_send(call))
-        return self._ended(call, outcome)
+        return self._handle_outcome(call, outcome)
 
     def _may_send(self, call: Call) -> bool:
-        return self._holding.may_send(call, self._holds_lease(), self._leaving())
+        return self._assignment.may_send(call, self._holds_lease(), self._leaving())
 
-    def _ended(self, call: Call, outcome: CallOutcome) -> float:
+    def _handle_outcome(self, call: Call, outcome: CallOutcome) -> float:
         fields = {"duty": self.duty, "window": call.window, "epoch": call.epoch}
         if outcome.verdict is Verdict.ACCEPTED:
-            self._holding.accepted(call)
+            self._assignment.mark_accepted(call)
             self._failures = 0
             self._log.event("usage_reported", **fields, status=outcome.status)
             return self._spacing_ms
         if outcome.verdict is Verdict.REFUSED:
-            self._holding.refused(call)
+            self._assignment.mark_refused(call)
             self._log.event("usage_refused", **fields)
             self._on_refused()
             return self._spacing_ms
         if outcome.verdict is Verdict.NOT_SENT:
-            return LOOK_AGAIN_MS
+            return RECHECK_MS
         self._failures = min(self._failures + 1, 10)
         self._log.event("usage_failed", **fields, status=outcome.status, why=outcome.why)
         backoff_ms = min(MAX_BACKOFF_MS, BACKOFF_MS * 2.0 ** (self._failures - 1))
--- a/sableford/duties/platform_client.py
+++ b/sableford/duties/platform_client.py
@@ -1,29 +1,29 @@
-"""Calls to the platform over HTTP/1.1. Each ends in a verdict on what the platform made of it."""
+"""Calls to the platform over HTTP/1.1, each with a verdict on whether the platform accepted it."""
 
 import asyncio
 from collections.abc import Callable
 from enum import Enum
 from typing import NamedTuple
 
-from sableford.duties.holding import Call
+from sableford.duties.assignment import Call
 from sableford.transport.errors import CallError
 from sableford.transport.http_client import ClientConnection
 
-DIAL_TIMEOUT_MS = 1000.0  # to a platform that is there: some round trips, and a lost packet
+DIAL_TIMEOUT_MS = 1000.0  # allows for some round trips and a lost packet
 USAGE_PATH = "/usage"
 
 
 class Verdict(Enum):
-    """What is known of a call."""
+    """Result of a call."""
 
     ACCEPTED = "accepted"  # 200
     REFUSED = "refused"  # 409: a higher fencing token was seen
-    NOT_SENT = "not sent"  # it was not this store's to send by then
-    UNCLEAR = "unclear"  # anything else: it may have been taken or not
+    NOT_SENT = "not sent"  # this store was no longer entitled to send it
+    UNCLEAR = "unclear"  # anything else: it may or may not have been accepted
 
 
 class CallOutcome(NamedTuple):
-    """`status`: of the answer, 0 where none came; `why` for people."""
+    """`status`: of the response, 0 if there was none; `why`: for the log."""
 
     verdict: Verdict
     status: int = 0
@@ -31,20 +31,20 @@
 
 
 class PlatformClient:
-    """`host` and `port` of the platform, `node`: the name that this store gives."""
+    """`host` and `port`: of the platform; `node`: the node name that the store sends."""
 
     def __init__(self, host: str, port: int, node: str) -> None:
         self._host, self._port, self._node = host, port, node
         self._loop = asyncio.get_running_loop()
 
     async def post(self, call: Call, timeout_ms: float, may_send: Callable[[], bool]) -> CallOutcome:
-        """One call on a connection of its own. `may_send` is asked just before it is written."""
+        """Makes one call on a new connection. `may_send` is checked immediately before it is written."""
         connection = ClientConnection()
         try:
             async with asyncio.timeout(DIAL_TIMEOUT_MS / 1000.0):
                 await self._loop.create_connection(lambda: connection, self._host, self._port)
             if not may_send():
-                return CallOutcome(Verdict.NOT_SENT, why="not this store's to send any more")
+                return CallOutcome(Verdict.NOT_SENT, why="no longer entitled to send")
             async with asyncio.timeout(timeout_ms / 1000.0):
                 response = await connection.send_request(self._request(call))
             return _outcome_of(response.status)
--- a/sableford/simulation/control/platform.py
+++ b/sableford/simulation/control/platform.py
@@ -172,12 +172,12 @@
                 self._deliver(self._rng.choice("abbccc"))
 
     def _deliver(self, tenant: str) -> None:
-        window = self._usage.began(tenant)
+        window = self._usage.count_delivery(tenant)
         self._platform.delivery_started(window, tenant)
         if self._rng.random() < 0.1:
             loop = asyncio.get_running_loop()
             loop.call_later(self._rng.uniform(0.002, 0.3), self._withdraw, tenant, window)
 
     def _withdraw(self, tenant: str, window: int) -> None:
-        self._usage.took_back(tenant, window)
+        self._usage.uncount_delivery(tenant, window)
         self._platform.delivery_not_run(window, tenant)
--- a/sableford/store/duties.py
+++ b/sableford/store/duties.py
@@ -4,8 +4,8 @@
 
 from sableford.common.settings import USAGE_REPORT, address
 from sableford.control.member_client import MemberClient
+from sableford.duties.assignment import DutyAssignment
 from sableford.duties.duty_holder import DutyHolder
-from sableford.duties.holding import Holding
 from sableford.duties.platform_client import PlatformClient
 from sableford.duties.time_of_day import TimeOfDay
 from sableford.duties.usage_counts import UsageCounts
@@ -25,7 +25,7 @@
         host, port = address(cloud_api.address)
         self._holder = DutyHolder(
             USAGE_REPORT,
-            Holding(runtime.me, runtime.incarnation),
+            DutyAssignment(runtime.me, runtime.incarnation),
             PlatformClient(host, port, settings.node_name),
             min(cloud_api.duty_rate_s, cloud_api.rate_per_s),
             holds_lease=member.holds_lease,
@@ -38,6 +38,6 @@
     def start(self) -> None:
         """Connects the duty to the runtime. Must be called before the process joins a leader."""
         self._member.usage = self.usage.status
-        self._member.on_duties.append(self._holder.heard)
+        self._member.on_duties.append(self._holder.handle_notices)
         self._runtime.duty_reports = self._holder.reports
         self._runtime.spawn(self._holder.run())
--- a/sableford/store/effect_executor.py
+++ b/sableford/store/effect_executor.py
@@ -321,9 +321,9 @@
     def began(self) -> None:
         """Counts the delivery: its request is being written."""
         if self._usage is not None:
-            self._window = self._usage.began(self._tenant)
+            self._window = self._usage.count_delivery(self._tenant)
 
     def did_not_run(self) -> None:
         """Removes the delivery from the count: its verdict proves that it did not run."""
         if self._usage is not None and self._window is not None:
-            self._usage.took_back(self._tenant, self._window)
+            self._usage.uncount_delivery(self._tenant, self._window)
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -30,7 +30,7 @@
 from sableford.control.service import ControlService
 from sableford.control.workers import Worker, WorkerTable
 from sableford.duties import state as duty_state
-from sableford.duties.holding import Call, Holding
+from sableford.duties.assignment import Call, DutyAssignment
 from sableford.duties.messages import DutyNotice
 from sableford.duties.state import DutyState
 from sableford.duties.succession import Candidate
@@ -266,7 +266,7 @@
 
 def handed_back(original: Callable) -> Callable:
     def next_holder(duty: str, state: DutyState, there: dict, barred: set) -> Candidate | None:
-        before = [one for one in there.values() if state.previous[-1:] == (one.node,) and one.able]
+        before = [one for one in there.values() if state.previous[-1:] == (one.node,) and one.eligible]
         return before[0] if before else original(duty, state, there, set())
 
     return next_holder
@@ -275,11 +275,11 @@
 def lease_looked_at_once(original: Callable) -> Callable:
     """As the first call under an epoch is made."""
 
-    def may_send(self: Holding, call: Call, holds_lease: bool, leaving: bool) -> bool:
+    def may_send(self: DutyAssignment, call: Call, holds_lease: bool, leaving: bool) -> bool:
         looked_at = getattr(self, "looked_at", 0)
         if call.epoch > looked_at and original(self, call, holds_lease, leaving):
             self.looked_at = call.epoch
-        return getattr(self, "looked_at", 0) == call.epoch and self.is_named()
+        return getattr(self, "looked_at", 0) == call.epoch and self.is_assigned()
 
     return may_send
 
@@ -419,7 +419,7 @@
         windows_of_memory,
         {"contents"},
         DUTIES,
-        also=((UsageLedger, "sealed", windows_not_forgotten),),
+        also=((UsageLedger, "mark_sealed", windows_not_forgotten),),
     ),
     "an epoch is used again": Mistake(duty_state, "with_holder", epoch_not_raised, {"token"}, HOLDERS),
     "epochs begin anew with a leader": Mistake(
@@ -429,15 +429,15 @@
         duty_manager, "next_holder", handed_back, {"A, B, A"}, HOLDERS
     ),
     "the lease is looked at once before several calls": Mistake(
-        Holding, "may_send", lease_looked_at_once, {"late"}, HOLDERS
+        DutyAssignment, "may_send", lease_looked_at_once, {"late"}, HOLDERS
     ),
     "a refused holder goes on": Mistake(
-        Holding,
-        "refused",
+        DutyAssignment,
+        "mark_refused",
         refusal_passed_over,
         {"refused"},
         HOLDERS,
-        also=((Holding, "may_send", lease_looked_at_once), (walk_platform, "LATE_MS", never_late)),
+        also=((DutyAssignment, "may_send", lease_looked_at_once), (walk_platform, "LATE_MS", never_late)),
     ),
 }
 
--- a/tests/duties.py
+++ b/tests/duties.py
@@ -1,4 +1,4 @@
-"""Duties at the platform: tables of state, succession, counts and windows, without I/O."""
+"""Duties: state, succession, usage counts and windows, without I/O."""
 
 import asyncio
 import itertools
@@ -12,25 +12,31 @@
 from sableford.control.duty_manager import DutyManager
 from sableford.control.protocol import RenewRequest, Update
 from sableford.duties import state as duty_state
+from sableford.duties.assignment import DutyAssignment
 from sableford.duties.duty_holder import DutyHolder
-from sableford.duties.holding import Holding
 from sableford.duties.messages import DutyNotice, DutyReport
 from sableford.duties.platform_client import CallOutcome, Verdict
 from sableford.duties.state import DutyState
-from sableford.duties.succession import Candidate, RecentHolders, next_holder, ranked, reason_to_change
-from sableford.duties.time_of_day import FOLLOW_AFTER_MS, TimeOfDay
+from sableford.duties.succession import (
+    Candidate,
+    RecentHolders,
+    next_holder,
+    reason_to_change,
+    succession_order,
+)
+from sableford.duties.time_of_day import ADOPT_STEP_AFTER_MS, TimeOfDay
 from sableford.duties.usage_counts import REPORT_INTERVAL_MS, SETTLE_MS, UsageCounts, UsageStatus
 from sableford.duties.usage_ledger import UsageLedger
 from sableford.transport.link import IncomingMessage
 from tests.control_service import Peer, join_member, run_until, start_control
 
 DUTY = "usage_report"
-ORDER = ranked(DUTY, "abcd")
+ORDER = succession_order(DUTY, "abcd")
 COUNTS = st.dictionaries(st.integers(1, 99), st.dictionaries(st.sampled_from("abc"), st.integers(0, 9)))
 
 
 def sealed(*windows: int) -> DutyState:
-    state = duty_state.begins(windows[0])
+    state = duty_state.initial_state(windows[0])
     for window in windows:
         state = duty_state.with_sealed_window(state, window, {"t": window})
     return state
@@ -40,14 +46,14 @@
     return {host: Candidate(host, f"node-{host}", f"{host}.1") for host in hosts}
 
 
-# The agreed state
+# Replicated state
 
 
-# A later holder that sent other bytes for a window than an earlier one.
+# Guards against a later holder that sends other bytes for a window than an earlier one.
 @given(COUNTS)
 @settings(max_examples=60, deadline=None)
-def shows_what_is_sealed_is_the_same_after_it_was_written_and_read(counts: dict) -> None:
-    state = duty_state.begins(min(counts, default=1))
+def shows_sealed_windows_survive_encoding_and_decoding(counts: dict) -> None:
+    state = duty_state.initial_state(min(counts, default=1))
     for window in range(state.sealed_until + 1, max(counts, default=0) + 1):
         state = duty_state.with_sealed_window(state, window, counts.get(window, {}))
     state = duty_state.with_holder(state, "h", "n", "i", 5.0)
@@ -56,8 +62,8 @@
     assert [[*one] for one in read.sealed.values()] == [[*one] for one in state.sealed.values()]
 
 
-# A window left out, or sealed twice with other counts.
-def shows_windows_are_sealed_one_after_the_other_and_once() -> None:
+# Guards against a window that is skipped, or sealed twice with different counts.
+def shows_windows_are_sealed_in_order_and_once() -> None:
     state = sealed(7, 8)
     for window in (7, 8, 10):
         try:
@@ -67,8 +73,8 @@
         raise AssertionError(window)
 
 
-# A platform that is down for an hour and a record that grows with it; windows sealed again once they went.
-def shows_no_more_than_so_many_windows_are_owed_and_what_is_sealed_never_falls() -> None:
+# Guards against state that grows while the platform is down, and against sealing dropped windows again.
+def shows_pending_windows_are_bounded_and_sealed_until_never_decreases() -> None:
     state, dropped = duty_state.bounded(sealed(*range(1, 8)), most=4)
     assert [*state.sealed] == [4, 5, 6, 7] and [*dropped] == [1, 2, 3]
     state = duty_state.without_accepted(state, 7)
@@ -77,7 +83,7 @@
     assert duty_state.skipped_to(state, 9).sealed_until == 9
 
 
-# One token for two holders.
+# Guards against one fencing token for two holders.
 def shows_each_change_of_holder_has_an_epoch_of_its_own() -> None:
     state, epochs = DutyState(), []
     for host in "abab":
@@ -86,42 +92,42 @@
     assert epochs == [1, 2, 3, 4] and state.previous == ("a", "b", "a")
 
 
-# Who is next
+# Succession
 
 
 def shows_when_the_holder_changes() -> None:
     state = duty_state.with_holder(DutyState(), "a", "node-a", "a.1", 0.0)
-    there = Candidate("a", "node-a", "a.1")
+    member = Candidate("a", "node-a", "a.1")
     for holder, refused_epoch, reason in (
-        (there, 0, ""),
+        (member, 0, ""),
         (None, 0, "no member"),
-        (there._replace(incarnation="a.2"), 0, "another incarnation"),
-        (there._replace(able=False), 0, "leaves"),
-        (there, 1, "refused"),
+        (member._replace(incarnation="a.2"), 0, "another incarnation"),
+        (member._replace(eligible=False), 0, "leaves"),
+        (member, 1, "refused"),
     ):
         assert reason_to_change(state, holder, refused_epoch) == reason, (holder, refused_epoch)
     assert reason_to_change(DutyState(), None, 0)
 
 
-def shows_the_next_holder_is_the_first_in_order_that_may_have_it() -> None:
+def shows_the_next_holder_is_the_first_eligible_one_in_order() -> None:
     first, second, third, fourth = ORDER
     state = duty_state.with_holder(DutyState(), second, f"node-{second}", "i", 0.0)
-    for there, barred, wanted in (
+    for stores, barred, wanted in (
         (ORDER, "", third),
         ([first, second, fourth], "", fourth),
         ([first, second], "", first),
-        ([second], "", second),  # nobody else: under the next epoch
+        ([second], "", second),  # no other store: under the next epoch
         (ORDER, third, fourth),
         ([second, third], third, second),
-        ([third], third, None),  # it waits
+        ([third], third, None),  # unassigned for now
         ([], "", None),
     ):
-        found = next_holder(DUTY, state, candidates("".join(there)), {f"node-{one}" for one in barred})
-        assert (found.host if found else None) == wanted, (there, barred)
+        found = next_holder(DUTY, state, candidates("".join(stores)), {f"node-{one}" for one in barred})
+        assert (found.host if found else None) == wanted, (stores, barred)
 
 
-# A, B, A within `leaseMs`, also where a new leader did not see when A lost the duty.
-def shows_a_holder_that_was_followed_is_passed_over_for_a_while() -> None:
+# Guards against holders A, B, A within `leaseMs`, also if a new leader did not observe when A lost the duty.
+def shows_a_previous_holder_is_excluded_for_a_while() -> None:
     states = [DutyState()]
     for host in "ab":
         states.append(duty_state.with_holder(states[-1], host, host, f"{host}.1", 0.0))
@@ -129,11 +135,11 @@
     for now, state in ((0.0, states[1]), (1000.0, states[2])):
         seen_by_all.observe(now, state)
     seen_late.observe(3000.0, states[2])
-    assert seen_by_all.barred(4999.0) == {"a"} and not seen_by_all.barred(5001.0)
-    assert seen_late.barred(6999.0) == {"a"} and not seen_late.barred(7001.0)
+    assert seen_by_all.excluded(4999.0) == {"a"} and not seen_by_all.excluded(5001.0)
+    assert seen_late.excluded(6999.0) == {"a"} and not seen_late.excluded(7001.0)
 
 
-# What a store counts, what the leader makes of it
+# Usage counts of a store, and the ledger of the leader
 
 
 class Clock:
@@ -146,15 +152,15 @@
     return UsageCounts(5000.0, 10_000.0, lambda: clock.unix), clock
 
 
-# Deliveries that a worker turned away unrun, counted all the same; counts that a renewal repeats in full.
-def shows_a_store_tells_what_has_changed_and_a_join_all() -> None:
+# Guards against counting deliveries that a worker rejected, and against renewals that repeat all counts.
+def shows_a_renewal_reports_changed_counts_and_a_join_all() -> None:
     counts, clock = counting()
-    window = counts.began("t")
-    counts.began("u")
-    counts.took_back("t", window)
+    window = counts.count_delivery("t")
+    counts.count_delivery("u")
+    counts.uncount_delivery("t", window)
     assert counts.status(False).counts == {200: {"t": 0, "u": 1}}
     clock.unix += REPORT_INTERVAL_MS / 2
-    counts.began("t")
+    counts.count_delivery("t")
     assert counts.status(False) == UsageStatus()
     clock.unix += REPORT_INTERVAL_MS
     assert counts.status(False).counts == {200: {"t": 1}}
@@ -172,11 +178,11 @@
         assert counts.status(True).settled == settled, after_ms
 
 
-# A window sealed before a store had told its last counts; one that a silent store holds up for ever; one that
-# a leader whose clock is ahead seals before it has begun.
+# Guards against a window that is sealed before a store has reported its last counts, blocked forever by a
+# silent store, or sealed before its end by a leader whose clock is ahead.
 def shows_when_a_window_may_be_sealed() -> None:
     end = 1_005_000.0  # of window 200
-    for settled, present, unix_ms, may in (
+    for settled, present, unix_ms, expected in (
         ({"a": 200, "b": 200}, "ab", end + 1100.0, True),
         ({"a": 200, "b": 199}, "ab", end + 3999.0, False),
         ({"a": 200, "b": 199}, "ab", end + 4000.0, False),  # no more than half
@@ -188,23 +194,23 @@
     ):
         ledger = UsageLedger(5000.0, 10_000.0)
         for store, until in settled.items():
-            ledger.heard(store, UsageStatus({}, until))
-        assert ledger.may_seal(200, unix_ms, set(present)) is may, (settled, present, unix_ms - end)
+            ledger.add_report(store, UsageStatus({}, until))
+        assert ledger.may_seal(200, unix_ms, set(present)) is expected, (settled, present, unix_ms - end)
 
 
-def shows_totals_are_of_all_stores_and_lives_with_the_newest_of_each() -> None:
+def shows_totals_sum_the_latest_report_of_each_incarnation() -> None:
     ledger = UsageLedger(5000.0, 10_000.0)
-    ledger.heard("a.1", UsageStatus({200: {"t": 3, "u": 1}}))
-    ledger.heard("a.1", UsageStatus({200: {"t": 5}}))
-    ledger.heard("a.2", UsageStatus({200: {"t": 1}, 201: {"t": 9}}))
+    ledger.add_report("a.1", UsageStatus({200: {"t": 3, "u": 1}}))
+    ledger.add_report("a.1", UsageStatus({200: {"t": 5}}))
+    ledger.add_report("a.2", UsageStatus({200: {"t": 1}, 201: {"t": 9}}))
     assert ledger.totals(200) == {"t": 6, "u": 1}
-    ledger.sealed(200)
-    ledger.heard("b.1", UsageStatus({200: {"t": 4}}))
+    ledger.mark_sealed(200)
+    ledger.add_report("b.1", UsageStatus({200: {"t": 4}}))
     assert ledger.totals(200) == {} and ledger.totals(201) == {"t": 9}
 
 
-# Counts in the wrong window on machines whose time of day jumps for some seconds.
-def shows_steps_of_the_time_of_day_are_passed_over_unless_they_last() -> None:
+# Guards against counts in the wrong window while a system clock is off for some seconds.
+def shows_clock_steps_are_ignored_unless_they_persist() -> None:
     clock = Clock()
     time_of_day = TimeOfDay(lambda: clock.steady, lambda: clock.unix)
     found = []
@@ -215,17 +221,17 @@
     assert found == [1000.0, 2000.0, 7000.0, 8000.0, 9005.0], found
     clock.unix += 2000.0
     time_of_day.unix_ms()
-    clock.steady += FOLLOW_AFTER_MS
-    clock.unix += FOLLOW_AFTER_MS
+    clock.steady += ADOPT_STEP_AFTER_MS
+    clock.unix += ADOPT_STEP_AFTER_MS
     assert time_of_day.unix_ms() == clock.unix
 
 
-# Who acts
+# The holder
 
 
-def holding(epoch: int = 3, *windows: int) -> Holding:
-    one = Holding("h", "h.1")
-    one.heard(notice(epoch, *windows))
+def assignment(epoch: int = 3, *windows: int) -> DutyAssignment:
+    one = DutyAssignment("h", "h.1")
+    one.apply_notice(notice(epoch, *windows))
     return one
 
 
@@ -236,42 +242,42 @@
 
 
 def shows_who_may_send() -> None:
-    call = holding(3, 7).next_call()
+    call = assignment(3, 7).next_call()
     assert call is not None and call.body == b'{"windowNo":7,"serverCounts":{"t":7}}'
-    for heard, lease, leaving, may in (
+    for received, lease, leaving, expected in (
         (notice(3), True, False, True),
         (notice(3), False, False, False),
         (notice(3), True, True, False),
-        (notice(4), True, False, False),  # the call was of another epoch
+        (notice(4), True, False, False),  # the call belongs to another epoch
         (notice(4, holder="i"), True, False, False),
         (notice(4, incarnation="h.2"), True, False, False),
-        (notice(2, holder="i"), True, False, True),  # an old notice that comes late
+        (notice(2, holder="i"), True, False, True),  # a delayed notice of an older epoch
     ):
-        one = holding(3, 7)
-        one.heard(heard)
-        assert one.may_send(call, lease, leaving) is may, (heard, lease, leaving)
+        one = assignment(3, 7)
+        one.apply_notice(received)
+        assert one.may_send(call, lease, leaving) is expected, (received, lease, leaving)
 
 
-# A call under a token after it was refused; windows out of order, or sent again once they are done.
-def shows_windows_go_in_order_and_nothing_after_a_refusal() -> None:
-    one = holding(3, 9, 7, 8)
+# Guards against calls under a refused token, and against windows sent out of order or again once accepted.
+def shows_windows_are_sent_in_order_and_none_after_a_refusal() -> None:
+    one = assignment(3, 9, 7, 8)
     call = one.next_call()
     assert call is not None and call.window == 7
-    one.accepted(call)
-    one.heard(notice(3, 7, 10, oldest=9))
+    one.mark_accepted(call)
+    one.apply_notice(notice(3, 7, 10, oldest=9))
     call = one.next_call()
     assert call is not None and call.window == 9 and one.report() == DutyReport(3, 7)
-    one.refused(call)
-    one.heard(notice(3, 11))
+    one.mark_refused(call)
+    one.apply_notice(notice(3, 11))
     assert one.next_call() is None and one.report() == DutyReport(3, 7, True)
     assert not one.may_send(call, True, False)
-    one.heard(notice(4, 9, 10, 11))
+    one.apply_notice(notice(4, 9, 10, 11))
     call = one.next_call()
     assert call is not None and (call.epoch, call.window) == (4, 9) and one.report() == DutyReport(4)
 
 
 class Script:
-    """A platform that answers as it is told, and runs something between look and call."""
+    """A platform with scripted outcomes; `before_write` runs between the lease check and the call."""
 
     def __init__(self, *outcomes: CallOutcome) -> None:
         self.outcomes, self.sent, self.timeouts = list(outcomes), [], []
@@ -295,31 +301,31 @@
 
 
 def steps(script: Script, count: int, lease: list[bool]) -> tuple[list[float], Events]:
-    """How long the holder waits after each of its steps."""
+    """The holder's waits after each of its steps, and its log."""
 
     async def scene() -> tuple[list[float], Events]:
         log = Events()
         holder = DutyHolder(
-            DUTY, holding(3, 7, 8), script, 50.0, lambda: lease[0], lambda: False, lambda: None, log
+            DUTY, assignment(3, 7, 8), script, 50.0, lambda: lease[0], lambda: False, lambda: None, log
         )
         return [await holder._step() for _ in range(count)], log
 
     return asyncio.run(scene())
 
 
-# A holder that was frozen between its look at the lease and its call.
-def shows_the_lease_is_looked_at_as_each_call_is_written() -> None:
+# Guards against a holder that was frozen between the lease check and its call.
+def shows_the_lease_is_checked_as_each_call_is_written() -> None:
     lease, script = [True], Script()
     script.before_write = lambda: lease.__setitem__(0, False)
     waits, log = steps(script, 2, lease)
     assert not script.sent and log.names == [] and all(wait > 0 for wait in waits)
 
 
-def shows_a_call_that_fails_is_made_again_with_the_same_bytes_and_longer_waits() -> None:
+def shows_a_failed_call_is_retried_with_the_same_bytes_and_longer_waits() -> None:
     script = Script(*[CallOutcome(Verdict.UNCLEAR, status) for status in (0, 503, 429, 0)])
     waits, log = steps(script, 6, [True])
     assert len({call.body for call in script.sent[:5]}) == 1 and script.sent[5].window == 8
-    assert all(after == 2 * before for before, after in itertools.pairwise(waits[:4])), waits
+    assert all(later == 2 * before for before, later in itertools.pairwise(waits[:4])), waits
     assert script.timeouts[0] < script.timeouts[1] and script.timeouts[5] == script.timeouts[0]
     assert log.names == ["usage_failed"] * 4 + ["usage_reported"] * 2
 
@@ -328,19 +334,19 @@
     script = Script(CallOutcome(Verdict.REFUSED, 409))
 
     async def scene() -> None:
-        told: list[bool] = []
-        one = holding(3, 7, 8)
+        sent: list[bool] = []
+        one = assignment(3, 7, 8)
         holder = DutyHolder(
-            DUTY, one, script, 50.0, lambda: True, lambda: False, lambda: told.append(True), Events()
+            DUTY, one, script, 50.0, lambda: True, lambda: False, lambda: sent.append(True), Events()
         )
         running = asyncio.ensure_future(holder.run())
         while one.next_call() is not None:
             await asyncio.sleep(0)
         for _ in range(20):
-            holder.heard([notice(3, 9)])
+            holder.handle_notices([notice(3, 9)])
             await asyncio.sleep(0)
         running.cancel()
-        assert told == [True] and holder.reports()[DUTY].refused
+        assert sent == [True] and holder.reports()[DUTY].refused
 
     asyncio.run(scene())
     assert len(script.sent) == 1
@@ -367,11 +373,11 @@
             raise AssertionError(line)
 
 
-# The leader's side, in the control service at one machine that votes alone
+# The leader: a control service with a single voter
 
 
 class Members:
-    """A control service with a platform in its settings, and what its members were sent."""
+    """A control service with a platform in its settings, and the messages sent to its members."""
 
     def __init__(self) -> None:
         made = Settings(
@@ -389,13 +395,13 @@
     async def run(self, until: Callable[[], bool]) -> None:
         assert await run_until(self.control, self.clock, until)
 
-    def join(self, name: str, **said: object) -> None:
-        self.peers[name] = join_member(self.control, name, **said)
+    def join(self, name: str, **status: object) -> None:
+        self.peers[name] = join_member(self.control, name, **status)
 
-    def renew(self, name: str, **said: object) -> None:
+    def renew(self, name: str, **status: object) -> None:
         peer = self.peers[name]
         request = RenewRequest(
-            incarnation=peer.incarnation, role="store", zone="z", node=name, update_number=0, term=0, **said
+            incarnation=peer.incarnation, role="store", zone="z", node=name, update_number=0, term=0, **status
         )
         self.control.sessions.handle_renewal(IncomingMessage(peer, request, call_number=1))
 
@@ -409,7 +415,7 @@
 
 
 async def with_holder(members: Members) -> str:
-    """Three stores, one of which has the duty; which one."""
+    """Lets three stores join, one of which gets the duty; returns its name."""
     await members.run(lambda: members.control.leads)
     for name in ("s00", "s01", "s02"):
         members.join(name)
@@ -417,8 +423,8 @@
     return members.state.holder
 
 
-# A store that acts before a majority has agreed, or one that is not told that another follows it.
-def shows_stores_are_told_of_a_holder_once_it_is_agreed_on() -> None:
+# Guards against a store that acts before its assignment is committed, or is not notified of its successor.
+def shows_stores_are_notified_of_a_holder_once_it_is_committed() -> None:
     async def scene() -> None:
         members = Members()
         holder = await with_holder(members)
@@ -426,7 +432,7 @@
             assert [(one.epoch, one.holder) for one in members.notices(name)] == [(1, holder)], name
         written = DutyState.load(members.control.record.state_machine.values["duty/usage_report"].data)
         assert written == members.state
-        # Nothing is agreed on any more: nobody is told anything, whatever is wanted.
+        # Proposals are no longer committed: no store is notified, whatever state is wanted.
         members.control.driver.propose = lambda *given: asyncio.sleep(0)
         members.control.carry_out(members.control.coordinator.process_ended(members.clock[0], holder))
         for _ in range(10):
@@ -438,7 +444,7 @@
     asyncio.run(scene())
 
 
-def shows_a_holder_that_goes_or_is_refused_is_followed_under_the_next_epoch() -> None:
+def shows_a_holder_that_ends_leaves_or_is_refused_is_replaced_under_the_next_epoch() -> None:
     async def scene(change: Callable[[Members, str], None]) -> None:
         members = Members()
         holder = await with_holder(members)
@@ -456,9 +462,9 @@
         asyncio.run(scene(change))
 
 
-# Counts that are sent before they are sealed, or to others than the holder; a holder that joins anew and does
-# not get what is owed.
-def shows_windows_are_sealed_with_all_counts_and_told_to_the_holder() -> None:
+# Guards against counts sent before they are sealed or to other stores, and against a holder that rejoins and
+# does not get the pending windows.
+def shows_windows_are_sealed_with_all_counts_and_sent_to_the_holder() -> None:
     async def scene() -> None:
         members = Members()
         holder = await with_holder(members)
@@ -471,8 +477,8 @@
         await members.run(lambda: members.state.sealed_until == window)
         assert members.state.sealed == {window: {"t": 9}}
         for name in members.peers:
-            told = [one.sealed for one in members.notices(name) if one.sealed]
-            assert told == ([{window: {"t": 9}}] if name == holder else []), name
+            sent = [one.sealed for one in members.notices(name) if one.sealed]
+            assert sent == ([{window: {"t": 9}}] if name == holder else []), name
         members.join(holder)
         assert members.notices(holder)[-1].sealed == {window: {"t": 9}}
         members.renew(holder, duties={USAGE_REPORT: DutyReport(1, window)})
@@ -484,10 +490,10 @@
     asyncio.run(scene())
 
 
-# Mistakes that walks seldom meet, and that these tests must find
+# Planted mistakes that random simulations rarely reach
 
 
-def told_at_once(original: Callable) -> Callable:
+def notified_before_commit(original: Callable) -> Callable:
     async def propose(self: DutyManager, wanted: DutyState) -> None:
         before, self.state = self.state, wanted
         self._notify_stores(before)
@@ -501,26 +507,26 @@
         (
             DutyManager,
             "_propose",
-            told_at_once(DutyManager._propose),
-            shows_stores_are_told_of_a_holder_once_it_is_agreed_on,
+            notified_before_commit(DutyManager._propose),
+            shows_stores_are_notified_of_a_holder_once_it_is_committed,
         ),
         (
-            Holding,
+            DutyAssignment,
             "may_send",
-            lambda self, call, holds_lease, leaving: self.is_named(),
-            shows_the_lease_is_looked_at_as_each_call_is_written,
+            lambda self, call, holds_lease, leaving: self.is_assigned(),
+            shows_the_lease_is_checked_as_each_call_is_written,
         ),
         (
-            Holding,
-            "refused",
+            DutyAssignment,
+            "mark_refused",
             lambda self, call: None,
-            shows_windows_go_in_order_and_nothing_after_a_refusal,
+            shows_windows_are_sent_in_order_and_none_after_a_refusal,
         ),
         (
             RecentHolders,
-            "barred",
+            "excluded",
             lambda self, now: set(),
-            shows_a_holder_that_was_followed_is_passed_over_for_a_while,
+            shows_a_previous_holder_is_excluded_for_a_while,
         ),
     ):
         with mock.patch.object(owner, name, mistake):
@@ -528,4 +534,4 @@
                 check()
             except AssertionError:
                 continue
-        raise AssertionError(f"{owner.__name__}.{name} was not missed")
+        raise AssertionError(f"{owner.__name__}.{name} is not covered by {check.__name__}")
--- a/tests/duty_platform.py
+++ b/tests/duty_platform.py
@@ -1,10 +1,10 @@
-"""Calls to the platform over real sockets on loopback, to a stand-in written from the users' page."""
+"""Calls to the platform over loopback sockets, to a stub written from the platform's specification."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
 
+from sableford.duties.assignment import Call, DutyAssignment
 from sableford.duties.duty_holder import DutyHolder
-from sableford.duties.holding import Call, Holding
 from sableford.duties.messages import DutyNotice
 from sableford.duties.platform_client import CallOutcome, PlatformClient, Verdict
 
@@ -13,9 +13,9 @@
 HIGHER_FENCE = b"HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}"
 
 
-class StandIn:
-    """It keeps the whole calls that come; `answers` are given in turn, the last one for ever. An empty one
-    ends the connection, None says nothing."""
+class PlatformStub:
+    """Records complete calls. `answers` are sent in turn, the last one repeatedly; an empty one closes the
+    connection, None sends nothing."""
 
     def __init__(self, *answers: bytes | None) -> None:
         self.answers = list(answers)
@@ -40,14 +40,14 @@
             writer.close()
 
 
-def played(stand_in: StandIn, scene: Callable[[PlatformClient], Awaitable[None]]) -> None:
+def run_with_stub(stub: PlatformStub, scene: Callable[[PlatformClient], Awaitable[None]]) -> None:
     async def play() -> None:
-        server = await asyncio.start_server(stand_in.serve, "127.0.0.1", 0)
+        server = await asyncio.start_server(stub.serve, "127.0.0.1", 0)
         async with server:
             await scene(PlatformClient("127.0.0.1", server.sockets[0].getsockname()[1], "edge-nebrodi-1"))
-            while not stand_in.tasks:
+            while not stub.tasks:
                 await asyncio.sleep(0)
-            await asyncio.gather(*stand_in.tasks, return_exceptions=True)
+            await asyncio.gather(*stub.tasks, return_exceptions=True)
 
     asyncio.run(play())
 
@@ -58,25 +58,25 @@
     async def scene(client: PlatformClient) -> None:
         found.append(await client.post(CALL, timeout_ms, lambda: may_send))
 
-    played(StandIn(answer), scene)
+    run_with_stub(PlatformStub(answer), scene)
     return found[0]
 
 
-def shows_a_report_is_sent_as_the_page_has_it() -> None:
-    stand_in = StandIn(OK)
+def shows_a_report_is_sent_as_specified() -> None:
+    stub = PlatformStub(OK)
 
     async def scene(client: PlatformClient) -> None:
         await client.post(CALL, 60_000.0, lambda: True)
 
-    played(stand_in, scene)
-    ((line, *fields),) = stand_in.heads
-    assert line == "POST /usage HTTP/1.1" and stand_in.bodies == [CALL.body]
+    run_with_stub(stub, scene)
+    ((line, *fields),) = stub.heads
+    assert line == "POST /usage HTTP/1.1" and stub.bodies == [CALL.body]
     for field in ("Duty-Holder: edge-nebrodi-1", "Fence-Token: 12", "Content-Type: application/json"):
         assert field in fields, fields
 
 
-# A report taken for accepted or refused on an answer that says neither.
-def shows_what_each_answer_means() -> None:
+# Guards against a report taken as accepted or refused on a response that says neither.
+def shows_the_verdict_of_each_response() -> None:
     for answer, verdict, status in (
         (OK, Verdict.ACCEPTED, 200),
         (HIGHER_FENCE, Verdict.REFUSED, 409),
@@ -91,11 +91,11 @@
         assert (found.verdict, found.status) == (verdict, status), (answer, found)
 
 
-def shows_a_call_that_gets_no_answer_ends_by_its_own_time_out() -> None:
+def shows_a_call_without_a_response_times_out() -> None:
     assert outcome_of(None, timeout_ms=20.0).verdict is Verdict.UNCLEAR
 
 
-def shows_a_platform_that_is_not_there_is_a_call_that_failed() -> None:
+def shows_a_call_to_an_unreachable_platform_fails() -> None:
     async def scene() -> CallOutcome:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -106,16 +106,16 @@
     assert asyncio.run(scene()).verdict is Verdict.UNCLEAR
 
 
-# A lease that ran out while the platform was dialled.
-def shows_nothing_is_written_once_the_right_to_is_over() -> None:
-    stand_in = StandIn(OK)
+# Guards against a call after the lease expired while the connection was being established.
+def shows_nothing_is_written_once_the_lease_has_expired() -> None:
+    stub = PlatformStub(OK)
     found: list[CallOutcome] = []
 
     async def scene(client: PlatformClient) -> None:
         found.append(await client.post(CALL, 60_000.0, lambda: False))
 
-    played(stand_in, scene)
-    assert found[0].verdict is Verdict.NOT_SENT and stand_in.bodies == []
+    run_with_stub(stub, scene)
+    assert found[0].verdict is Verdict.NOT_SENT and stub.bodies == []
 
 
 class Events:
@@ -126,16 +126,16 @@
         self.names.append(name)
 
 
-# An answer lost after the platform took the call: the window is sent again with other bytes, or left out.
-def shows_windows_arrive_in_order_with_the_same_bytes_whatever_becomes_of_answers() -> None:
-    stand_in, log = StandIn(b"", BUSY, OK), Events()
+# Guards against a window that is resent with other bytes, or skipped, after its response was lost.
+def shows_windows_arrive_in_order_with_the_same_bytes_though_responses_are_lost() -> None:
+    stub, log = PlatformStub(b"", BUSY, OK), Events()
 
     async def scene(client: PlatformClient) -> None:
-        holding = Holding("h", "h.1")
+        assignment = DutyAssignment("h", "h.1")
         sealed = {window: {"t": window} for window in (7, 8, 9)}
-        holding.heard(DutyNotice("usage_report", 3, "h", "h.1", 7, sealed))
+        assignment.apply_notice(DutyNotice("usage_report", 3, "h", "h.1", 7, sealed))
         holder = DutyHolder(
-            "usage_report", holding, client, 1e6, lambda: True, lambda: False, lambda: None, log
+            "usage_report", assignment, client, 1e6, lambda: True, lambda: False, lambda: None, log
         )
         running = asyncio.ensure_future(holder.run())
         async with asyncio.timeout(60.0):
@@ -143,9 +143,9 @@
                 await asyncio.sleep(0)
         running.cancel()
 
-    played(stand_in, scene)
-    assert len({*stand_in.bodies[:3]}) == 1 and len(stand_in.bodies) == 5
-    assert [body[:13] for body in stand_in.bodies[2:]] == [
+    run_with_stub(stub, scene)
+    assert len({*stub.bodies[:3]}) == 1 and len(stub.bodies) == 5
+    assert [body[:13] for body in stub.bodies[2:]] == [
         b'{"windowNo":7',
         b'{"windowNo":8',
         b'{"windowNo":9',
--- a/tests/tenant_review.py
+++ b/tests/tenant_review.py
@@ -1,25 +1,25 @@
-"""Faults that a review of tenants and duties looked for: counts of stores that come back, a platform that is
-silent, settings and amendments with odd values."""
+"""Faults found in a review of tenants and duties: counts of stores that rejoin, a platform that does not
+answer, and malformed amendments."""
 
 import asyncio
 
 from sableford.control.configuration import InvalidRequestError, amended
 from sableford.control.timing import LEASE_MS
+from sableford.duties.assignment import Call, DutyAssignment
 from sableford.duties.duty_holder import DutyHolder
-from sableford.duties.holding import Call, Holding
 from sableford.duties.messages import DutyNotice
 from sableford.duties.platform_client import CallOutcome, Verdict
-from sableford.duties.usage_ledger import LATE_PART
+from sableford.duties.usage_ledger import LATE_FRACTION
 from tests.control_service import reelect
 from tests.duties import Members, with_holder
-from tests.duty_platform import CALL, OK, StandIn, played
+from tests.duty_platform import CALL, OK, PlatformStub, run_with_stub
 from tests.tenant_configuration import KEY, OpenConnection, document, on_a_connection, tenant
 
 USAGE_LATE_MS = 10_000.0  # `usageLateS` of the deployments with duties
 
 
-# A window sealed without what a store had counted in it that had lost its lease for a moment, and was back
-# long before the window was late.
+# Guards against a window that is sealed without the counts of a store that lost its lease for a moment and
+# rejoined long before the window was late.
 def shows_a_window_waits_for_a_store_that_lost_its_lease_in_it() -> None:
     async def scene() -> None:
         members = Members()
@@ -47,7 +47,7 @@
     asyncio.run(scene())
 
 
-# A new leader that sealed a window without a store that needed some moments longer to find it.
+# Guards against a new leader that seals a window without a store that joins it a little later.
 def shows_a_new_leader_seals_no_window_without_a_store_that_joins_a_moment_later() -> None:
     async def scene() -> None:
         members = Members()
@@ -70,7 +70,7 @@
 
 
 class SilentPlatform:
-    """It answers nothing; `timeouts` in ms are those that it was given."""
+    """Never answers; `timeouts` records the time-outs of the calls in ms."""
 
     def __init__(self) -> None:
         self.timeouts: list[float] = []
@@ -82,39 +82,39 @@
 
 class NoLog:
     def event(self, name: str, **fields: object) -> None:
-        """Nothing is kept."""
+        """Discards the event."""
 
 
-# A window missed though the platform was back in time: its call still waited for an answer from before.
+# Guards against a window that is late although the platform is back in time, as an earlier call still waits.
 def shows_a_platform_that_was_silent_is_called_again_before_the_next_window_is_late() -> None:
     async def scene() -> None:
-        holding, platform = Holding("h", "h.1"), SilentPlatform()
-        holding.heard(DutyNotice("usage_report", 1, "h", "h.1", 200, {200: {"t": 1}}))
+        assignment, platform = DutyAssignment("h", "h.1"), SilentPlatform()
+        assignment.apply_notice(DutyNotice("usage_report", 1, "h", "h.1", 200, {200: {"t": 1}}))
         holder = DutyHolder(
-            "usage_report", holding, platform, 50.0, lambda: True, lambda: False, lambda: None, NoLog()
+            "usage_report", assignment, platform, 50.0, lambda: True, lambda: False, lambda: None, NoLog()
         )
         for _ in range(12):
             wait_ms = await holder._step()
-            left_ms = USAGE_LATE_MS * (1.0 - LATE_PART)  # of a window that is sealed as late as it may be
+            left_ms = USAGE_LATE_MS * (1.0 - LATE_FRACTION)  # of a window that is sealed at the latest time
             assert platform.timeouts[-1] + wait_ms <= left_ms, (platform.timeouts, wait_ms)
 
     asyncio.run(scene())
 
 
-# A duty that nobody does any more: its holder's task had ended on a name that fits no header's encoding.
-def shows_a_node_s_name_in_any_script_is_sent() -> None:
-    stand_in = StandIn(OK)
+# Guards against a holder whose task ends with an encoding error because of a non-ASCII node name.
+def shows_a_non_ascii_node_name_is_sent() -> None:
+    stub = PlatformStub(OK)
 
     async def scene(client) -> None:
         client._node = "Ploče-1-щ"
         assert (await client.post(CALL, 60_000.0, lambda: True)).verdict is Verdict.ACCEPTED
 
-    played(stand_in, scene)
-    assert "Duty-Holder: Ploče-1-щ" in stand_in.heads[0]
+    run_with_stub(stub, scene)
+    assert "Duty-Holder: Ploče-1-щ" in stub.heads[0]
 
 
-# A malformed amendment was taken where the configuration had no tenants.
-def shows_names_to_remove_are_a_list_where_there_are_no_tenants_either() -> None:
+# Guards against accepting a malformed amendment if the configuration has no tenants.
+def shows_names_to_remove_must_be_a_list_without_tenants_too() -> None:
     doc = {"revision": 1, "routes": [], "backends": []}
     for names in ("a", 5, [5], {"a": 1}):
         try:
@@ -125,8 +125,8 @@
             raise AssertionError(names)
 
 
-# A message that began before an earlier one of its Order-Key had ended, on a route that keeps order by now:
-# the earlier one was taken before that, stands in another shard and among no key's messages.
+# Guards against a message that starts before an earlier one of the same Order-Key has ended, on a route that
+# became fifo in between: the earlier message is in another shard and not recorded under the key.
 def shows_order_is_kept_after_those_that_were_taken_before_their_route_kept_it() -> None:
     async def scene(client: OpenConnection) -> None:
         fields = f"Host: h\r\nOrder-Key: k\r\nAuthorization: Token {KEY}\r\nContent-Length: 0"
