--- a/sableford/simulation/membership/__init__.py
+++ b/sableford/simulation/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who votes and who stands in the roster, in simulated time: stores that are lost, replaced and emptied."""
+"""Simulation of voters and roster in simulated time: stores that fail, are replaced and are retired."""
--- a/tests/control_membership.py
+++ b/tests/control_membership.py
@@ -19,7 +19,7 @@
 from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.control.voter_selection import Candidate, Tolerance, seats_needed, select_voters
 from sableford.simulation.membership.model import SimulatedStore
-from sableford.simulation.membership.walk import MembershipSimulation, Wrong
+from sableford.simulation.membership.walk import InvariantError, MembershipSimulation
 from sableford.transport.http import HttpRequest, HttpResponse
 from tests.control_service import join_member, run_until, start_control
 from tests.record_growth import Group
@@ -343,17 +343,17 @@
 class FixedTimes(MembershipSimulation):
     """Waits for a fixed time, as an earlier version did, whether a store has announced leaving or not."""
 
-    def patience_of(self, sync_s: float) -> float:
+    def absence_limit_of(self, sync_s: float) -> float:
         return 3500.0
 
     def tracker_of(self) -> PresenceTracker:
-        return IgnoresLeaving(self.patience)
+        return IgnoresLeaving(self.absence_limit)
 
 
 class RemovedWhileVoting(MembershipSimulation):
     """A retiring store is removed while it is still a voter."""
 
-    def may_strike(self, name: str) -> bool:
+    def may_remove(self, name: str) -> bool:
         return not self.coordinator.has_returned(name)
 
 
@@ -378,7 +378,7 @@
 def shows_no_second_loss_after_a_repair_or_replacement_leaves_too_few() -> None:
     counts: Counter = Counter()
     for seed in range(40):
-        counts.update(make_simulation(seed).play().counts)
+        counts.update(make_simulation(seed).run_to_end().counts)
     assert counts["losses"] > 100 and counts["voters"] > 200, counts
     assert counts["retired"] > 60 and counts["refused"] > 60 and counts["leaders"] > 90, counts
 
@@ -387,8 +387,8 @@
     for make in MUTATIONS:
         for seed in range(60):
             try:
-                make_simulation(seed, make).play()
-            except Wrong:
+                make_simulation(seed, make).run_to_end()
+            except InvariantError:
                 break
         else:
             raise AssertionError(f"{make.__name__} was not detected in 60 simulations")
@@ -399,7 +399,7 @@
 
     def coordinator_of(self) -> Coordinator:
         coordinator = super().coordinator_of()
-        coordinator._departures = WithoutEvidence(self.patience)
+        coordinator._departures = WithoutEvidence(self.absence_limit)
         return coordinator
 
 
@@ -420,12 +420,12 @@
     after."""
     simulation = make(seed).run(6000.0)
     old, other, *_ = [one for one in simulation.stores.values() if one.name != simulation.leader]
-    simulation.loses(old, simulation.now + simulation.sync_ms, "to be replaced")
-    simulation.successor()
-    simulation.later(1000.0, simulation.leave, old)
-    simulation.later(simulation.sync_ms - 30.0, simulation.end_of, old, False)
+    simulation.count_loss(old, simulation.now + simulation.sync_ms, "to be replaced")
+    simulation.add_empty_store()
+    simulation.schedule(1000.0, simulation.begin_leaving, old)
+    simulation.schedule(simulation.sync_ms - 30.0, simulation.remove_for_good, old, False)
     simulation.run(6000.0 + simulation.sync_ms + 1.0)
-    simulation.loses(other, 1e12, "without power")
+    simulation.count_loss(other, 1e12, "without power")
     simulation.stop(other, True)
     return simulation.run(20_000.0)
 
@@ -437,7 +437,7 @@
     for seed in range(10):
         try:
             lose_store_during_departure(seed, EvidenceTooLate)
-        except Wrong as wrong:
+        except InvariantError as wrong:
             found += str(wrong).startswith("TAKEOVER")
     assert found >= 6, found
 
@@ -452,7 +452,7 @@
 def lose_store_during_replacement(seed: int, make: type[MembershipSimulation]) -> None:
     """One of three stores is being emptied and a fourth replaces it; at that moment another loses power."""
     simulation = make(seed, 3).run(6000.0)
-    new = simulation.successor()
+    new = simulation.add_empty_store()
     new.ready_at = simulation.now + 2500.0
     departing, other = [name for name in sorted(simulation.voters) if name != simulation.leader]
     for turn in range(400):
@@ -462,8 +462,8 @@
         if new.name in (simulation.pending or simulation.voters):
             break
     else:
-        raise AssertionError(simulation.told())
-    simulation.loses(simulation.stores[other], 1e12, "without power")
+        raise AssertionError(simulation.describe())
+    simulation.count_loss(simulation.stores[other], 1e12, "without power")
     simulation.stop(simulation.stores[other], True)
     simulation.run(simulation.now + 3000.0)
 
@@ -474,7 +474,7 @@
         lose_store_during_replacement(seed, MembershipSimulation)
         try:
             lose_store_during_replacement(seed, CountedBeforeCaughtUp)
-        except Wrong as wrong:
+        except InvariantError as wrong:
             found += str(wrong).startswith("MAJORITY")
     assert found == 10, found
 
@@ -484,7 +484,7 @@
     simulation = MembershipSimulation(stores, stores, Tolerance(losses)).run(6000.0)
     simulation.counts["voters"] = 0
     for store in list(simulation.stores.values()):
-        simulation.leave(store)
+        simulation.begin_leaving(store)
         simulation.run(simulation.now + 300.0)
         simulation.stop(store)
         simulation.run(simulation.now + 900.0)
@@ -497,8 +497,8 @@
     for stores, losses, most in ((3, 1, 0), (4, 1, 8), (7, 2, 14), (5, 2, 0)):
         for gap in (700.0, 5000.0):
             simulation = restart_in_turn(stores, losses, gap)  # checks its invariants at each step
-            assert simulation.counts["voters"] <= most, (stores, gap, simulation.counts, simulation.story)
-            assert len(simulation.voters) == 2 * losses + 1, simulation.story
+            assert simulation.counts["voters"] <= most, (stores, gap, simulation.counts, simulation.history)
+            assert len(simulation.voters) == 2 * losses + 1, simulation.history
 
 
 def shows_a_retiring_voter_loses_its_vote_where_fewer_voters_suffice() -> None:
@@ -511,4 +511,4 @@
 
 def shows_voters_tolerate_the_loss_of_a_zone_again_after_one_was_lost() -> None:
     for seed in range(40):
-        MembershipSimulation(seed, 6, Tolerance(1, 1), 6.0, zones=3).play()
+        MembershipSimulation(seed, 6, Tolerance(1, 1), 6.0, zones=3).run_to_end()
