--- a/sableford/simulation/membership/model.py
+++ b/sableford/simulation/membership/model.py
@@ -1,9 +1,9 @@
 """Model of voters and roster in simulated time: stores, leaders, the replicated log, the roster and messages.
 
 It runs the decisions of the control plane (`select_voters`, `PresenceTracker`, `Coordinator`, `Roster`,
-`begin_retirement`) on simplified foundations: the log is reduced to its voters, which change one at a time and
-are committed by a majority; a queue is a set of messages on disks; there is a leader while there is a majority.
-Faults and invariants are defined in `sableford.simulation.membership.walk`.
+`begin_retirement`) on simplified foundations: the log is reduced to its voters, which change one at a time
+and are committed by a majority; a queue is a set of messages on disks; there is a leader while there is a
+majority. Faults and invariants are defined in `sableford.simulation.membership.walk`.
 """
 
 import itertools
@@ -45,10 +45,8 @@
         self.ready_at = 0.0  # when its folder holds the log
         self.complete, self.empty = True, True
         self.joined_at, self.renewed_at = 1e12, 0.0
-        self.safe = self.seen = (
-            0,
-            0,
-        )  # views: the last in which its messages were safe, the last it observed
+        # Numbers of views: the last in which its messages were safe, and the last that it observed.
+        self.safe = self.seen = (0, 0)
         self.safe_without_leaving = (0, 0)  # as `safe`, with no copies counted on stores that leave
         self.leaving_at = 0.0
         self.to_be_replaced = False  # to be replaced, and has not announced leaving yet
--- a/sableford/simulation/membership/walk.py
+++ b/sableford/simulation/membership/walk.py
@@ -1,5 +1,5 @@
-"""Seeded random simulations of voters and roster: losses, returns, replacements, retirements by two operators,
-and further losses as soon as the previous one no longer counts.
+"""Seeded random simulations of voters and roster: losses, returns, replacements, retirements by two
+operators, and further losses as soon as the previous one no longer counts.
 
 Invariants at every step, while no more machines count as lost than `Tolerance.machines`:
 
