--- a/sableford/net/acceptor.py
+++ b/sableford/net/acceptor.py
@@ -132,10 +132,10 @@
                 self._reserved_bytes.pop(client, None)
                 self._clients.pop(client, None)
             case BodyReservation(client, size):
-                divide_resources = sum(self._reserved_bytes.values()) + size <= self.limits.total_bodies
-                if divide_resources:
+                is_granted = sum(self._reserved_bytes.values()) + size <= self.limits.total_bodies
+                if is_granted:
                     self._reserved_bytes[client] = size
-                client.mailbox.put(BodyGrant(divide_resources))
+                client.mailbox.put(BodyGrant(is_granted))
             case RequestRejected(status, reason):
                 self._rejections[f"{status} {reason}"] += 1
             case ConfigReloaded(limits, _, settings):
@@ -148,7 +148,7 @@
                 self.other_serving = serves
                 self._notify_shutdown()
             case Shutdown(_, other_serving) if not self._stopped_at:
-                self.log.event("leaving", connections=len(self._clients), other_serving=other_serving)
+                self.log.event("leaving", connections=len(self._clients), beside=other_serving)
                 self._stopped_at, self.other_serving = now, other_serving
                 self._notify_shutdown()
 
--- a/sableford/net/dispatcher.py
+++ b/sableford/net/dispatcher.py
@@ -321,7 +321,7 @@
             before, after = known.get(worker), self._latest_list.get(worker)
             if (before and (before[4], before[6])) != (after and (after[4], after[6])):
                 standing, since = (after[4], after[6]) if after else (0, 0.0)
-                self._log.event("worker", worker=worker, standing=standing, started_at=since)
+                self._log.event("worker", worker=worker, standing=standing, since=since)
         self._handle_event(self._index.roster_update(worker_list, message.complete))
         if self._inherited is not None:
             learned_state.restore_state(
--- a/sableford/net/state_directory.py
+++ b/sableford/net/state_directory.py
@@ -29,7 +29,7 @@
         self.path.mkdir(mode=0o700, exist_ok=True)
         status = self.path.lstat()
         if not stat.S_ISDIR(status.st_mode) or status.st_uid != os.geteuid():
-            raise PermissionError(f"{self.path} is another's")
+            raise PermissionError(f"{self.path} belongs to another user")
         # Locked before it is renamed: an unlocked lock file counts as a dead process's.
         temporary = self.path / f"{token}.new"
         self.lock = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
