--- a/sableford/simulation/stores/effects.py
+++ b/sableford/simulation/stores/effects.py
@@ -1,11 +1,11 @@
-"""What a queue asks for, done in simulated time: its disk, and requests to other stores."""
+"""Carries out the effects of a queue in virtual time: disk writes and requests to other stores."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
 from msgspec.structs import replace
 
-from sableford.simulation.stores.model import SYNC, SimulatedStore
+from sableford.simulation.stores.model import DISK_SYNC_MS, SimulatedStore
 from sableford.simulation.stores.network import Network
 from sableford.store.messages import (
     AskFinalStates,
@@ -37,7 +37,7 @@
 
 
 class WrittenMessage(NamedTuple):
-    """A message as a simulated disk holds it."""
+    """A message as it is stored on a simulated disk."""
 
     header: MessageHeader
     body: bytes | None
@@ -46,17 +46,17 @@
 
 
 class PullAnswer(NamedTuple):
-    """The messages come on the same link, before the response."""
+    """The response to a pull, and the messages that are sent before it on the same link."""
 
     response: PullResponse
     messages: list[tuple[PulledMessage, bytes | None]]
 
 
 class Effects(Network):
-    """The world around one store's queue."""
+    """The environment of a store's queue."""
 
-    def act(self, store: SimulatedStore, effects: list) -> None:
-        """Carries them out in their order."""
+    def apply_effects(self, store: SimulatedStore, effects: list) -> None:
+        """Carries out effects in order."""
         for effect in effects:
             match effect:
                 case WriteMessage(ref):
@@ -67,9 +67,9 @@
                     for ref in refs:
                         self._write_final_state(store, ref)
                 case DropReplica(to, ref, epoch):
-                    self._to(store.name, to, self._drop, ref, epoch)
+                    self._transmit(store.name, to, self._drop, ref, epoch)
                 case RespondToPut(waiter, response):
-                    self.later(self._way(), waiter, response)
+                    self.later(self._delay(), waiter, response)
                 case Deliver(ref, worker, until):
                     self._deliver(store, store.incarnation, ref, worker, until)
                 case _:
@@ -85,29 +85,31 @@
                 request, body = message.copy_request(self.now, epoch), message.body
 
                 def copied(accepted: bool | None) -> None:
-                    self.act(store, queue.message_copied(self.now, ref, to, bool(accepted)))
+                    self.apply_effects(store, queue.message_copied(self.now, ref, to, bool(accepted)))
 
                 self._ask(name, to, lambda other, reply: self._copy(other, request, body, reply), copied)
             case CopyFinalState(to, ref, _, final_state):
 
-                def kept(accepted: bool | None) -> None:
-                    self.act(store, queue.final_state_copied(self.now, ref, to, bool(accepted)))
+                def stored(accepted: bool | None) -> None:
+                    self.apply_effects(store, queue.final_state_copied(self.now, ref, to, bool(accepted)))
 
                 self._ask(
                     name,
                     to,
-                    lambda other, reply: self._keep_final_state(other, ref, final_state, reply),
-                    kept,
+                    lambda other, reply: self._store_final_state(other, ref, final_state, reply),
+                    stored,
                 )
             case CopyFinalStates(to, refs):
                 known = {
                     ref: queue.state.final_states[ref] for ref in refs if ref in queue.state.final_states
                 }
 
-                def filled(accepted: bool | None) -> None:
-                    self.act(store, queue.final_states_copied(self.now, to, refs, bool(accepted)))
+                def copied_all(accepted: bool | None) -> None:
+                    self.apply_effects(store, queue.final_states_copied(self.now, to, refs, bool(accepted)))
 
-                self._ask(name, to, lambda other, reply: self._keep_final_states(other, known, reply), filled)
+                self._ask(
+                    name, to, lambda other, reply: self._store_final_states(other, known, reply), copied_all
+                )
             case ListFinalStates(to, number, shards, after, limit):
                 self._ask(
                     name,
@@ -126,13 +128,13 @@
             case AskFinalStates(to, number, refs):
 
                 def answered(known: dict[str, FinalState] | None) -> None:
-                    self.act(store, queue.final_states_answered(self.now, to, number, known))
+                    self.apply_effects(store, queue.final_states_answered(self.now, to, number, known))
 
                 self._ask(name, to, lambda other, reply: reply(other.queue.final_states_of(refs)), answered)
             case Lookup(to, ref):
 
                 def found(response: LookupResponse | None) -> None:
-                    self.act(store, queue.lookup_answered(self.now, to, ref, response))
+                    self.apply_effects(store, queue.lookup_answered(self.now, to, ref, response))
 
                 self._ask(name, to, lambda other, reply: reply(self._look_up(other, ref)), found)
             case SendDeliveryResult(to, ref, _, _):
@@ -143,66 +145,66 @@
                     lambda accepted: queue.result_reported(ref) if accepted else None,
                 )
 
-    # The own disk
+    # Writes to the local disk
 
     def _write_message(self, store: SimulatedStore, ref: str) -> None:
         message, incarnation = store.queue.state.messages.get(ref), store.incarnation
         if message is None:
             return
-        if store.stalled > self.now:
-            self.later(store.stalled - self.now + 0.1, self._write_message, store, ref)
+        if store.stalled_until > self.now:
+            self.later(store.stalled_until - self.now + 0.1, self._write_message, store, ref)
             return
         if store.full > self.now:
-            refused = store.queue.message_written(self.now, ref, "full")
-            self._when_awake(store.name, incarnation, lambda: self.act(store, refused))
+            effects = store.queue.message_written(self.now, ref, "full")
+            self._when_resumed(store.name, incarnation, lambda: self.apply_effects(store, effects))
             return
         header = replace(message.header, attempts=message.attempts)
         value = WrittenMessage(header, message.body, message.due_at, message.sent_at)
-        self.later(self.draw.uniform(*SYNC), self._message_written, store, incarnation, ref, value)
+        self.later(self.rng.uniform(*DISK_SYNC_MS), self._message_written, store, incarnation, ref, value)
 
     def _message_written(
         self, store: SimulatedStore, incarnation: str, ref: str, value: WrittenMessage
     ) -> None:
-        if not self._up(store.name, incarnation):
+        if not self._is_running(store.name, incarnation):
             return
-        store.kept["m", ref] = value
+        store.disk["m", ref] = value
         message = store.queue.state.messages.get(ref)
         if message is not None and message.shard not in store.queue.state.owned:
             store.queue.replica_written(ref)
-        self._when_awake(
+        self._when_resumed(
             store.name,
             incarnation,
-            lambda: self.act(store, store.queue.message_written(self.now, ref)),
+            lambda: self.apply_effects(store, store.queue.message_written(self.now, ref)),
         )
 
     def _write_final_state(self, store: SimulatedStore, ref: str) -> None:
         incarnation = store.incarnation
-        if store.stalled > self.now:
-            self.later(store.stalled - self.now + 0.1, self._write_final_state, store, ref)
+        if store.stalled_until > self.now:
+            self.later(store.stalled_until - self.now + 0.1, self._write_final_state, store, ref)
             return
         if store.full > self.now:
-            refused = store.queue.final_state_written(self.now, ref, "full")
-            self._when_awake(store.name, incarnation, lambda: self.act(store, refused))
+            effects = store.queue.final_state_written(self.now, ref, "full")
+            self._when_resumed(store.name, incarnation, lambda: self.apply_effects(store, effects))
             return
         final_state = store.queue.state.final_states.get(ref)
         if final_state is not None:
-            after = self.draw.uniform(*SYNC)
+            after = self.rng.uniform(*DISK_SYNC_MS)
             self.later(after, self._final_state_written, store, incarnation, ref, final_state)
 
     def _final_state_written(
         self, store: SimulatedStore, incarnation: str, ref: str, final_state: FinalState
     ) -> None:
-        if not self._up(store.name, incarnation):
+        if not self._is_running(store.name, incarnation):
             return
-        store.kept.pop(("m", ref), None)
-        store.kept["e", ref] = final_state
-        self._when_awake(
+        store.disk.pop(("m", ref), None)
+        store.disk["e", ref] = final_state
+        self._when_resumed(
             store.name,
             incarnation,
-            lambda: self.act(store, store.queue.final_state_written(self.now, ref)),
+            lambda: self.apply_effects(store, store.queue.final_state_written(self.now, ref)),
         )
 
-    # Requests at the other store
+    # Requests handled by the other store
 
     def _copy(self, store: SimulatedStore, request: CopyRequest, body: bytes | None, reply: Reply) -> None:
         if not store.queue.replica_offered(self.now, request, body):
@@ -210,8 +212,8 @@
             return
         ref = request.ref
         message, incarnation = store.queue.state.messages.get(ref), store.incarnation
-        if store.stalled > self.now:
-            return  # it answers once its disk does; by then others have been asked
+        if store.stalled_until > self.now:
+            return  # it responds once its disk does; by then the owner has asked other stores
         if message is None or message.synced:
             reply(True)
             return
@@ -220,67 +222,67 @@
             return
 
         def written() -> None:
-            if self._up(store.name, incarnation):
-                store.kept["m", ref] = WrittenMessage(
+            if self._is_running(store.name, incarnation):
+                store.disk["m", ref] = WrittenMessage(
                     message.header, message.body or body, message.due_at, message.sent_at
                 )
                 store.queue.replica_written(ref)
                 message.body = body
                 reply(True)
 
-        self.later(self.draw.uniform(*SYNC), written)
+        self.later(self.rng.uniform(*DISK_SYNC_MS), written)
 
-    def _keep_final_state(
+    def _store_final_state(
         self, store: SimulatedStore, ref: str, final_state: FinalState, reply: Reply
     ) -> None:
         incarnation = store.incarnation
-        self.act(store, store.queue.final_state_learned(self.now, ref, final_state))
-        if store.stalled > self.now:
+        self.apply_effects(store, store.queue.final_state_learned(self.now, ref, final_state))
+        if store.stalled_until > self.now:
             return
         if store.full > self.now:
             reply(False)
             return
 
         def written() -> None:
-            if self._up(store.name, incarnation):
-                store.kept.pop(("m", ref), None)
-                store.kept["e", ref] = final_state
-                self.act(store, store.queue.final_state_written(self.now, ref))
+            if self._is_running(store.name, incarnation):
+                store.disk.pop(("m", ref), None)
+                store.disk["e", ref] = final_state
+                self.apply_effects(store, store.queue.final_state_written(self.now, ref))
                 reply(True)
 
-        self.later(self.draw.uniform(*SYNC), written)
+        self.later(self.rng.uniform(*DISK_SYNC_MS), written)
 
-    def _keep_final_states(
+    def _store_final_states(
         self, store: SimulatedStore, final_states: dict[str, FinalState], reply: Reply
     ) -> None:
-        waits = set(final_states)
+        unwritten = set(final_states)
 
         def written(ref: str) -> None:
-            waits.discard(ref)
-            if not waits:
+            unwritten.discard(ref)
+            if not unwritten:
                 reply(True)
 
         for ref, final_state in final_states.items():
-            self._keep_final_state(store, ref, final_state, lambda yes, ref=ref: written(ref))
+            self._store_final_state(store, ref, final_state, lambda accepted, ref=ref: written(ref))
 
     def _listed(self, store: SimulatedStore, to: str, number: int, page: tuple | None) -> None:
         refs, is_last = page or (None, True)
-        self.act(store, store.queue.final_states_listed(self.now, to, number, refs, is_last))
+        self.apply_effects(store, store.queue.final_states_listed(self.now, to, number, refs, is_last))
 
     def _drop(self, store: SimulatedStore, ref: str, epoch: tuple) -> None:
         if store.queue.drop_allowed(self.now, ref, epoch):
-            store.kept.pop(("m", ref), None)
+            store.disk.pop(("m", ref), None)
 
     def _pull(self, store: SimulatedStore, request: PullRequest, reply: Reply) -> None:
         response, messages = store.queue.answer_pull(request)
-        sent = [(one.pulled_message(self.now), one.body or store.kept["m", one.ref].body) for one in messages]
+        sent = [(one.pulled_message(self.now), one.body or store.disk["m", one.ref].body) for one in messages]
         reply(PullAnswer(response, sent))
 
     def _pulled(self, store: SimulatedStore, to: str, number: int, answer: PullAnswer | None) -> None:
         for message, body in answer.messages if answer is not None else ():
-            self.act(store, store.queue.message_pulled(self.now, message, body))
+            self.apply_effects(store, store.queue.message_pulled(self.now, message, body))
         response = answer.response if answer is not None else None
-        self.act(store, store.queue.pull_answered(self.now, to, number, response))
+        self.apply_effects(store, store.queue.pull_answered(self.now, to, number, response))
 
     def _look_up(self, store: SimulatedStore, ref: str) -> LookupResponse:
         return LookupResponse(store.queue.state.final_states.get(ref))
@@ -289,7 +291,7 @@
         self, store: SimulatedStore, sender: str, result: SendDeliveryResult, reply: Reply
     ) -> None:
         accepts = store.queue.accepts_results(result.shard)
-        self.act(
+        self.apply_effects(
             store,
             store.queue.delivery_reported(self.now, sender, result.ref, result.shard, result.verdict),
         )
--- a/sableford/simulation/stores/model.py
+++ b/sableford/simulation/stores/model.py
@@ -1,4 +1,4 @@
-"""What the simulation is made of: a machine with its disk, what was seen, the configuration."""
+"""The data of the simulation: machines with their disks, observed events, and the configuration."""
 
 from typing import Any, NamedTuple
 
@@ -7,18 +7,19 @@
 
 MACHINE_LOSS = 1  # stores that may be lost at once
 
-SYNC = (2.0, 6.0)  # ms of one commit
-READ = (1.0, 4.0)  # ms until a message's bytes are read
-WAY = (0.2, 1.2)  # ms of one word
-MAX_TRIES = 3  # failures after which a message is a dead letter
-MOST_FAILURES = 3 * MAX_TRIES  # runs that fail, whatever owners knew of the ones before (BUDGET)
-EARLY_MS = 300.0  # before the end of its delay that a message may begin (`notBeforeMs` and 200 ms)
-ACCEPTED_KNOWN_MS = 2000.0  # after its acceptance that no edge may answer 404 for a message
-ASK_EVERY_MS = (400.0, 4000.0)  # between two questions after the state of one message
-ASK_UNTIL_MS = 10_000.0  # after the last fault
-CALM = 4000.0  # ms without trouble before a run again after a success counts as wrong
-SYNC_MS = 4600.0  # ms after its return that a machine still counts as lost (`syncS`)
-GRACE_MS = 6000.0  # ms from the order to end to the kill (`graceS`)
+DISK_SYNC_MS = (2.0, 6.0)  # ms of one commit
+DISK_READ_MS = (1.0, 4.0)  # ms to read the body of a message
+LINK_DELAY_MS = (0.2, 1.2)  # ms, in one direction
+MAX_ATTEMPTS = 3  # failures after which a message is a dead letter
+# Rule BUDGET: failed runs of a message, even if owners did not know of earlier ones.
+MAX_FAILURES = 3 * MAX_ATTEMPTS
+EARLY_MS = 300.0  # how long before the end of its delay a message may start (`notBeforeMs` and 200 ms)
+ACCEPTED_KNOWN_MS = 2000.0  # after acceptance; from then on no edge may answer 404
+STATUS_POLL_MS = (400.0, 4000.0)  # between two status polls of one message
+STATUS_POLL_UNTIL_MS = 10_000.0  # after the last fault
+QUIET_MS = 4000.0  # ms without faults, after which running a message again after a success is a violation
+LOST_AFTER_RETURN_MS = 4600.0  # ms for which a machine still counts as lost after its return (`syncS`)
+GRACE_MS = 6000.0  # ms from SIGTERM to SIGKILL (`graceS`)
 FAULTS = (
     "kill",
     "power",
@@ -41,7 +42,7 @@
             "pathPrefix": "/a",
             "backend": "a",
             "deadlineMs": 1000,
-            "maxTries": MAX_TRIES,
+            "maxTries": MAX_ATTEMPTS,
         }
         | {"fifo": True, "retentionS": 300, "startTargetMs": 1200},
         {
@@ -50,7 +51,7 @@
             "pathPrefix": "/b",
             "backend": "a",
             "deadlineMs": 1000,
-            "maxTries": MAX_TRIES,
+            "maxTries": MAX_ATTEMPTS,
         }
         | {"retentionS": 300, "startTargetMs": 1200},
     ],
@@ -59,31 +60,31 @@
 
 
 class Wrong(Exception):
-    """A rule is broken; the text tells what clients and workers saw."""
+    """A rule was broken. The message lists what clients and workers observed."""
 
 
-class Seen(NamedTuple):
+class HistoryEvent(NamedTuple):
     at: float
     what: str
     facts: tuple
 
 
 class SimulatedStore:
-    """One machine: its disk outlives its lives."""
+    """One machine. Its disk outlives the incarnations of its store."""
 
     def __init__(self, name: str, zone: str) -> None:
         self.name, self.zone = name, zone
-        self.kept: dict[tuple[str, str], Any] = {}  # synced: ("m", ref) or ("e", ref)
-        self.kept_zones: dict[str, str] = {}
-        self.mark = ""  # "whole" once it is
-        self.alive, self.frozen, self.stalled = False, 0.0, 0.0
-        self.full = 0.0  # until then its disk takes nothing
+        self.disk: dict[tuple[str, str], Any] = {}  # synced: ("m", ref) or ("e", ref)
+        self.stored_zones: dict[str, str] = {}
+        self.completeness = ""  # "" before the first start, then "whole" or "lost"
+        self.alive, self.frozen_until, self.stalled_until = False, 0.0, 0.0
+        self.full = 0.0  # until then its disk rejects writes
         self.incarnation = ""
         self.queue: Queue | None = None
-        self.choice: WorkerSelector | None = None
+        self.selector: WorkerSelector | None = None
         self.view_number, self.term, self.joined, self.leaving = 0, 0, False, False
-        self.granted = 0.0  # until when the leader counts it as a member
+        self.granted_until = 0.0  # until when the leader counts it as a member
         self.has_lapsed = True  # its lease ran out before the last join
-        self.has_current_view = False  # a view came since the last join
-        self.up_at = 0.0
-        self.replaced = False  # once it has ended it is gone for good, with its disk
+        self.has_current_view = False  # a view was received since the last join
+        self.started_at = 0.0
+        self.replaced = False  # it is removed permanently, with its disk, once it has exited
--- a/sableford/simulation/stores/network.py
+++ b/sableford/simulation/stores/network.py
@@ -1,72 +1,76 @@
-"""Simulated time, and messages between machines that arrive in order, late, or never."""
+"""Virtual time, and messages between machines that arrive late or never."""
 
 from collections.abc import Callable
 from heapq import heappush
 from typing import Any
 from zlib import crc32
 
-from sableford.simulation.stores.model import WAY, SimulatedStore
+from sableford.simulation.stores.model import LINK_DELAY_MS, SimulatedStore
 
 
 class Network:
-    def later(self, after: float, do: Callable, *given: Any) -> None:
-        heappush(self._events, (self.now + after, next(self._count), do, given))
+    def later(self, delay_ms: float, callback: Callable, *args: Any) -> None:
+        heappush(self._events, (self.now + delay_ms, next(self._sequence), callback, args))
 
-    def _way(self) -> float:
-        return self.draw.uniform(*WAY)
+    def _delay(self) -> float:
+        return self.rng.uniform(*LINK_DELAY_MS)
 
-    def _reach(self, one: str, other: str) -> bool:
+    def _is_reachable(self, one: str, other: str) -> bool:
         return frozenset((one, other)) not in self.cut
 
-    def _up(self, name: str, incarnation: str) -> bool:
+    def _is_running(self, name: str, incarnation: str) -> bool:
         store = self.stores[name]
         return store.alive and store.incarnation == incarnation
 
-    def _to(self, sender: str, to: str, do: Callable, *given: Any) -> bool:
-        """A word to another store: in order, or lost with the line."""
-        if not self._reach(sender, to) or not self.stores[to].alive:
+    def _transmit(self, sender: str, to: str, callback: Callable, *args: Any) -> bool:
+        """Sends a message to another store. It is lost if the link is cut."""
+        if not self._is_reachable(sender, to) or not self.stores[to].alive:
             return False
-        if self.now < self.stores[to].up_at + crc32(f"{sender}{to}{self.seed}".encode()) % 600:
-            return False  # its line is not dialled yet
-        self.later(self._way(), self._arrive, sender, to, self.stores[to].incarnation, do, given)
+        if self.now < self.stores[to].started_at + crc32(f"{sender}{to}{self.seed}".encode()) % 600:
+            return False  # the link is not connected yet
+        self.later(self._delay(), self._arrive, sender, to, self.stores[to].incarnation, callback, args)
         return True
 
-    def _arrive(self, sender: str, to: str, incarnation: str, do: Callable, given: tuple) -> None:
+    def _arrive(self, sender: str, to: str, incarnation: str, callback: Callable, args: tuple) -> None:
         store = self.stores[to]
-        if not self._up(to, incarnation) or not self._reach(sender, to):
+        if not self._is_running(to, incarnation) or not self._is_reachable(sender, to):
             return
-        if store.frozen > self.now:
-            self.later(store.frozen - self.now + 0.1, self._arrive, sender, to, incarnation, do, given)
+        if store.frozen_until > self.now:
+            self.later(
+                store.frozen_until - self.now + 0.1, self._arrive, sender, to, incarnation, callback, args
+            )
             return
-        do(store, *given)
+        callback(store, *args)
 
-    def _ask(self, sender: str, to: str, ask: Callable, then: Callable) -> None:
-        """`then(answer)` at the sender; None after a while where none came."""
-        incarnation, over = self.stores[sender].incarnation, []
-        life = self.stores[sender].queue.state.incarnation_of(to)
+    def _ask(self, sender: str, to: str, handle: Callable, on_answer: Callable) -> None:
+        """Sends a request. `on_answer` gets the answer at the sender, or None after a time-out."""
+        incarnation, finished = self.stores[sender].incarnation, []
+        peer_incarnation = self.stores[sender].queue.state.incarnation_of(to)
 
         def arrived(answer: Any) -> None:
-            then(answer if self.stores[sender].queue.state.incarnation_of(to) == life else None)
+            on_answer(
+                answer if self.stores[sender].queue.state.incarnation_of(to) == peer_incarnation else None
+            )
 
-        def back(answer: Any) -> None:
-            if not over and self._up(sender, incarnation):
-                over.append(True)
-                self._when_awake(sender, incarnation, lambda: arrived(answer))
+        def finish(answer: Any) -> None:
+            if not finished and self._is_running(sender, incarnation):
+                finished.append(True)
+                self._when_resumed(sender, incarnation, lambda: arrived(answer))
 
-        def there(store: SimulatedStore) -> None:
-            ask(store, lambda answer: self.later(self._way(), answered, answer))
+        def received(store: SimulatedStore) -> None:
+            handle(store, lambda answer: self.later(self._delay(), answered, answer))
 
         def answered(answer: Any) -> None:
-            if self._reach(sender, to):
-                back(answer)
+            if self._is_reachable(sender, to):
+                finish(answer)
 
-        self.later(1200.0 if self._to(sender, to, there) else 15.0, back, None)
+        self.later(1200.0 if self._transmit(sender, to, received) else 15.0, finish, None)
 
-    def _when_awake(self, name: str, incarnation: str, do: Callable) -> None:
+    def _when_resumed(self, name: str, incarnation: str, callback: Callable) -> None:
         store = self.stores[name]
-        if not self._up(name, incarnation):
+        if not self._is_running(name, incarnation):
             return
-        if store.frozen > self.now:
-            self.later(store.frozen - self.now + 0.1, self._when_awake, name, incarnation, do)
+        if store.frozen_until > self.now:
+            self.later(store.frozen_until - self.now + 0.1, self._when_resumed, name, incarnation, callback)
         else:
-            do()
+            callback()
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -1,5 +1,5 @@
-"""Plain asserts on the system: walks in simulated time with planted mistakes, orders to the core, the doors
-on bytes, verdicts, the folder of a store. Nothing here sleeps, opens a port or needs the bench."""
+"""Simulation runs with planted mistakes, worker selection, leader discovery, the HTTP server on byte streams,
+verdicts, the consensus nodes and what they store, settings. No test sleeps or opens a port."""
 
 import asyncio
 import itertools
@@ -57,19 +57,19 @@
 from tests.control_member import STATUS
 from tests.order import SendsOutOfTurn, with_parts
 
-# Walks and planted mistakes
+# Simulation runs and planted mistakes
 
 
 def shows_walks_with_kills_power_wipes_cuts_freezes_and_restarts_break_no_rule() -> None:
-    moves = accepted = 0
+    view_changes = accepted = 0
     for seed in range(36):
         walk = Simulation(seed).play()
-        moves, accepted = moves + walk.moves, accepted + len(walk.accepted)
-    assert moves > 500 and accepted > 10_000, (moves, accepted)
+        view_changes, accepted = view_changes + walk.view_changes, accepted + len(walk.accepted)
+    assert view_changes > 500 and accepted > 10_000, (view_changes, accepted)
 
 
 class OwnDiskSuffices(ReplicaPlacement):
-    """Says kept once the own disk has it."""
+    """Regards a message as safe once it is on the local disk."""
 
     def is_safe(self, message):
         return message.synced
@@ -80,14 +80,14 @@
 
 
 class EndlessLease(QueueState):
-    """Acts on a lease that has run out."""
+    """Acts on an expired lease."""
 
     def holds_lease(self, now):
         return True
 
 
 class OpensAtOnce(ShardTakeover):
-    """Serves a shard before those who may know of its messages have told."""
+    """Serves a shard before the stores that may know of its messages have responded."""
 
     def check(self, now, takeover):
         if takeover.awaiting_final_states is None and takeover.shards:
@@ -101,22 +101,22 @@
             self.reported(ref)
 
 
-Alone = with_parts(placement=OwnDiskSuffices, replication=CopiesNothing)
-Timeless = with_parts(state=EndlessLease)
-Jumpy = with_parts(order=SendsOutOfTurn)
-Forgetful = with_parts(takeover=OpensAtOnce)
+StoresOnOneDisk = with_parts(placement=OwnDiskSuffices, replication=CopiesNothing)
+IgnoresLeaseExpiry = with_parts(state=EndlessLease)
+SendsWithoutOrder = with_parts(order=SendsOutOfTurn)
+OpensShardsAtOnce = with_parts(takeover=OpensAtOnce)
 
 
-class Careless(Queue):
-    """Does not tell the new owner what was still out."""
+class OmitsDeliveriesInFlight(Queue):
+    """Does not report deliveries in flight to the new owner."""
 
     def answer_pull(self, request):
         response, messages = super().answer_pull(request)
         return replace(response, in_flight=[]), messages
 
 
-class Deaf(Queue):
-    """Forgets an end that it alone knows once the shard is another's."""
+class DropsUnreportedFinalStates(Queue):
+    """Drops final states that only it knows once another store owns the shard."""
 
     parts = QueueParts(results=NeverReports)
 
@@ -135,28 +135,29 @@
 
 def shows_each_planted_mistake_of_a_store_is_found() -> None:
     for make, kinds, rules in (
-        (Alone, ("wipe",), {"LOST", "ORDER"}),  # the next of the key starts, and the lost one never ended
-        (Timeless, ("freeze", "cut"), {"FENCE", "ORDER", "TWICE"}),
-        (Jumpy, ("kill",), {"ORDER"}),
-        (Forgetful, ("power", "kill"), {"LOST", "ORDER", "TWICE", "NEVER"}),
-        (Careless, ("term",), {"TWICE", "ORDER"}),
-        (Deaf, ("term", "kill"), {"TWICE", "ORDER"}),
+        # ORDER: the next message of the key starts although the lost one never ended.
+        (StoresOnOneDisk, ("wipe",), {"LOST", "ORDER"}),
+        (IgnoresLeaseExpiry, ("freeze", "cut"), {"FENCE", "ORDER", "TWICE"}),
+        (SendsWithoutOrder, ("kill",), {"ORDER"}),
+        (OpensShardsAtOnce, ("power", "kill"), {"LOST", "ORDER", "TWICE", "NEVER"}),
+        (OmitsDeliveriesInFlight, ("term",), {"TWICE", "ORDER"}),
+        (DropsUnreportedFinalStates, ("term", "kill"), {"TWICE", "ORDER"}),
     ):
         assert found(make, kinds) in rules, (make.__name__, make.parts)
 
 
-# Choosing
+# Worker selection
 
 
 def shows_a_worker_taken_for_full_by_hearsay_is_asked_after_and_used() -> None:
-    choice = WorkerSelector("z", "seed")
-    lines = [WorkerEntry(f"w{at}", "b", "10.0.0.1", 80, "z", 2, True) for at in range(2)]
-    choice.put(0.0, lines[0], 0.0)
-    choice.update_reported_counts(0.0, "other", {"w0": 2})
-    choice.put(0.0, lines[1], 0.0)  # begins at the others' mean, which is full
-    assert choice.choose(10.0, "b") is None and "w1" in choice.stale
-    choice.update_reported_counts(20.0, "other", {"w1": 0})
-    assert choice.choose(30.0, "b").entry.id == "w1"
+    selector = WorkerSelector("z", "seed")
+    entries = [WorkerEntry(f"w{at}", "b", "10.0.0.1", 80, "z", 2, True) for at in range(2)]
+    selector.put(0.0, entries[0], 0.0)
+    selector.update_reported_counts(0.0, "other", {"w0": 2})
+    selector.put(0.0, entries[1], 0.0)  # starts with the mean of the other counts, which is full
+    assert selector.choose(10.0, "b") is None and "w1" in selector.stale
+    selector.update_reported_counts(20.0, "other", {"w1": 0})
+    assert selector.choose(30.0, "b").entry.id == "w1"
 
 
 PUT = PutRequest(
@@ -181,8 +182,8 @@
     assert queue.put(0.0, PUT, b"x", "edge") == [RespondToPut("edge", PutResponse(refusal=ISOLATED))]
     assert not queue.state.messages
     queue.state.unresponsive = {"s1"}
-    told = queue.put(0.0, PUT, b"x", "edge")
-    assert [type(one) for one in told] == [WriteMessage, CopyMessage] and told[1].to == "s2"
+    effects = queue.put(0.0, PUT, b"x", "edge")
+    assert [type(one) for one in effects] == [WriteMessage, CopyMessage] and effects[1].to == "s2"
 
 
 def shows_copies_go_to_another_zone_once_and_then_near() -> None:
@@ -195,8 +196,8 @@
             (1, 1), live_stores={name: StoreInfo("b", zone) for name, zone in places.items()}
         )
         queue.state.owned, queue.state.lease, queue.state.unresponsive = {0: (1, 1)}, 1e9, set(quiet)
-        told = queue.put(0.0, PUT, b"x", "edge")
-        return [one.to for one in told if isinstance(one, CopyMessage)]
+        effects = queue.put(0.0, PUT, b"x", "edge")
+        return [one.to for one in effects if isinstance(one, CopyMessage)]
 
     assert copies(1, 0) == ["s3"] and copies(2, 0) == ["s3", "s1"]
     assert copies(2, 0, ("s3",)) == ["s4", "s1"] and copies(2, 0, ("s1", "s2")) == ["s3", "s4"]
@@ -204,7 +205,7 @@
 
 
 def at_one_address(rate: float) -> Queue:
-    """A store of three, with a service at one address that bears a rate, and its shard 0."""
+    """One of three stores, which owns shard 0, with a rate-limited backend at a fixed endpoint."""
     queue = Queue("s0", "b0", 0, RoutingTable(), WorkerSelector("z0", "s0"), 600.0, True)
     queue.state.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
     queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
@@ -217,13 +218,13 @@
     queue, sent, names = at_one_address(10.0), [], itertools.count()
     for step in range(2000):
         now = 15.0 * step
-        told = []
-        if step % 10 == 0 and len(queue.state.messages) < 300:  # more than it may be sent, all the time
+        effects = []
+        if step % 10 == 0 and len(queue.state.messages) < 300:  # more than may be sent, at all times
             ref = f"00-{next(names)}"
-            told += queue.put(now, replace(PUT, ref=ref, target="/b"), b"x", "edge")
-            told += queue.message_written(now, ref)
-        told += queue.tick(now, now)
-        for one in told:
+            effects += queue.put(now, replace(PUT, ref=ref, target="/b"), b"x", "edge")
+            effects += queue.message_written(now, ref)
+        effects += queue.tick(now, now)
+        for one in effects:
             if isinstance(one, Deliver):
                 assert one.worker == "@a"
                 sent.append(now)
@@ -238,26 +239,26 @@
     queue = at_one_address(0.0)
     out = []
     for at in range(40):
-        told = queue.put(0.0, replace(PUT, ref=f"00-{at}", target="/b"), b"x", "edge")
-        told += queue.message_written(0.0, f"00-{at}")
-        out += [one for one in told if isinstance(one, Deliver)]
-    assert len(out) == 4  # nothing tells its size: it begins with few
+        effects = queue.put(0.0, replace(PUT, ref=f"00-{at}", target="/b"), b"x", "edge")
+        effects += queue.message_written(0.0, f"00-{at}")
+        out += [one for one in effects if isinstance(one, Deliver)]
+    assert len(out) == 4  # its capacity is unknown: the window starts small
     entry = queue.selector.workers["@a"].entry
     text = request_of(queue.state.messages[out[0].ref], b"x", entry, 900.0)
     assert (entry.host, entry.port) == ("10.0.0.9", 80) and b"Target-Instance" not in text
     for now in range(1, 400):
         done, out = out, []
         for one in done:
-            turned = len(done) > 12  # it has twelve places
-            verdict = Verdict(Execution.NOT_RUN, "full") if turned else Verdict(Execution.DONE, "", "seal")
-            told = queue.delivered(200.0 * now, one.ref, "@a", verdict)
-            told += queue.final_state_written(200.0 * now, one.ref)
-            out += [one for one in told if isinstance(one, Deliver)]
+            rejected = len(done) > 12  # it handles twelve requests at a time
+            verdict = Verdict(Execution.NOT_RUN, "full") if rejected else Verdict(Execution.DONE, "", "seal")
+            effects = queue.delivered(200.0 * now, one.ref, "@a", verdict)
+            effects += queue.final_state_written(200.0 * now, one.ref)
+            out += [one for one in effects if isinstance(one, Deliver)]
         ref = f"00-more{now}"
         for at in range(20):
-            told = queue.put(200.0 * now, replace(PUT, ref=f"{ref}-{at}", target="/b"), b"x", "edge")
-            told += queue.message_written(200.0 * now, f"{ref}-{at}")
-            out += [one for one in told if isinstance(one, Deliver)]
+            effects = queue.put(200.0 * now, replace(PUT, ref=f"{ref}-{at}", target="/b"), b"x", "edge")
+            effects += queue.message_written(200.0 * now, f"{ref}-{at}")
+            out += [one for one in effects if isinstance(one, Deliver)]
     assert 6 <= queue.selector.workers["@a"].window <= 16, queue.selector.workers["@a"].window
 
 
@@ -274,17 +275,17 @@
 # Finding the leader
 
 
-class Silence:
-    """A log that says nothing."""
+class NullLog:
+    """A log that drops all events."""
 
     def event(self, name, /, **fields): ...
 
 
 class Links:
-    """A pool of links to whoever is wanted, each answering as it is told to."""
+    """A pool of links to the wanted peers, each with a prepared response."""
 
     def __init__(self, answers: dict[str, JoinResponse]) -> None:
-        self.answers, self.wanted, self.asked = answers, set(), 0
+        self.answers, self.wanted, self.request_count = answers, set(), 0
 
     def set_peers(self, names):
         self.wanted = names
@@ -301,28 +302,28 @@
         self.links, self.name = links, name
 
     async def request(self, message):
-        self.links.asked += 1
-        assert self.links.asked < 20, "it goes round in circles"
+        self.links.request_count += 1
+        assert self.links.request_count < 20, "the search does not end"
         return PeerReply(self.links.answers[self.name])
 
 
 def shows_a_leader_that_no_seed_is_is_found_by_those_who_name_it() -> None:
     async def find() -> str:
-        passes, accepts = JoinResponse(False, leader="10.0.0.9"), JoinResponse(True, 3)
-        links = Links({"10.0.0.1": passes, "10.0.0.2": passes, "10.0.0.9": accepts})
+        redirects, accepts = JoinResponse(False, leader="10.0.0.9"), JoinResponse(True, 3)
+        links = Links({"10.0.0.1": redirects, "10.0.0.2": redirects, "10.0.0.9": accepts})
         seeds = ["10.0.0.1", "10.0.0.2"]
-        member = MemberClient(links, "10.0.0.5", lambda: STATUS, lambda: seeds, Silence())
+        member = MemberClient(links, "10.0.0.5", lambda: STATUS, lambda: seeds, NullLog())
         await member.find_leader()
         return member.leader
 
     assert asyncio.run(find()) == "10.0.0.9"
 
 
-# The doors
+# HTTP server and frames
 
 
-class Pipe:
-    """A transport that remembers."""
+class RecordingTransport:
+    """A transport that records what is written."""
 
     def __init__(self) -> None:
         self.out, self.closed = b"", False
@@ -347,19 +348,19 @@
         return 0
 
 
-def visited(
+def serve(
     parts: list[bytes], handle=lambda request: HttpResponse(200, request.body, content_type="text/plain")
 ) -> tuple[bytes, bool]:
-    async def visit() -> tuple[bytes, bool]:
+    async def run() -> tuple[bytes, bool]:
         bounds = ConnectionLimits()
         bounds.max_head_bytes, bounds.max_body_bytes = 400, 50
-        one, pipe = ServerConnection(HttpServer(handle, bounds)), Pipe()
-        one.connection_made(pipe)
+        one, transport = ServerConnection(HttpServer(handle, bounds)), RecordingTransport()
+        one.connection_made(transport)
         for part in parts:
             one.data_received(part)
-        return pipe.out, pipe.closed
+        return transport.out, transport.closed
 
-    return asyncio.run(visit())
+    return asyncio.run(run())
 
 
 POST = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz"
@@ -369,9 +370,9 @@
 def shows_requests_are_read_whole_however_they_are_cut() -> None:
     for text in (POST, CHUNKS):
         for at in range(len(text)):
-            out, closed = visited([text[:at], text[at:]])
+            out, closed = serve([text[:at], text[at:]])
             assert out.startswith(b"HTTP/1.1 200") and out.endswith(b"xyz") and not closed, at
-    out, _ = visited([POST + CHUNKS])
+    out, _ = serve([POST + CHUNKS])
     assert out.count(b"HTTP/1.1 200") == 2
 
 
@@ -387,7 +388,7 @@
     large = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n"
     long = b"POST /a HTTP/1.1\r\nHost: h\r\nX: " + b"y" * 500 + b"\r\n\r\n"
     for text, status in ((both, 400), (twice, 400), (large, 413), (long, 431), (b"\x00\x01\r\n\r\n", 400)):
-        out, closed = visited([text], handle)
+        out, closed = serve([text], handle)
         assert out.startswith(b"HTTP/1.1 %d" % status) and closed and not reached, (text, out)
 
 
@@ -405,13 +406,13 @@
 
 
 def shows_an_answer_behind_another_lends_it_nothing_and_spoils_its_connection() -> None:
-    """A worker in trouble sent another message's success, then this one's failure, in one go."""
+    """A faulty worker sends the success of another message and the failure of this one in one segment."""
     other = b"HTTP/1.1 200 OK\r\nAttempt-Id: 6\r\nServer-Seal: s6\r\nContent-Length: 0\r\n\r\n"
     own = b"HTTP/1.1 500 No\r\nAttempt-Id: 7\r\nContent-Length: 2\r\n\r\nno"
 
     async def ask(*parts: bytes) -> tuple[Execution, bool]:
-        call, pipe = ClientConnection(), Pipe()
-        call.connection_made(pipe)
+        call, transport = ClientConnection(), RecordingTransport()
+        call.connection_made(transport)
         future = call.send_request(b"POST")
         for part in parts:
             call.data_received(part)
@@ -432,137 +433,145 @@
         assert got[0].body == b"1:x,", at
 
 
-# What lies on disk
+# Consensus and stored data
 
 
-class Voters:
-    """Records whose words and disks take a moment each, in simulated time."""
+class ConsensusCluster:
+    """Consensus nodes in virtual time, whose messages and disk writes each take one step."""
 
     def __init__(self, names: str) -> None:
-        self.now, self.deaf = 0.0, set()
+        self.now, self.isolated = 0.0, set()
         self.all: dict[str, RaftNode] = {}
-        self.words: list[tuple[str, str, object]] = []
+        self.messages: list[tuple[str, str, object]] = []
         for name in names:
             self.add(name, list(names), False)
 
     def add(self, name: str, names: list[str], newcomer: bool) -> None:
-        held = StoredState(f"folder of {name}")
-        self.all[name] = RaftNode(name, 1, names, held, self.now, 7, newcomer=newcomer)
+        stored = StoredState(f"folder of {name}")
+        self.all[name] = RaftNode(name, 1, names, stored, self.now, 7, newcomer=newcomer)
 
     def run(self, ms: float, until=lambda: False) -> bool:
         end = self.now + ms
         while self.now < end and not until():
             self.now += 5.0
-            words, self.words = self.words, []
-            for sender, to, word in words:
-                if not {sender, to} & self.deaf:
-                    self.do(to, self.all[to].heard(self.now, sender, 1, word))
+            pending, self.messages = self.messages, []
+            for sender, to, message in pending:
+                if not {sender, to} & self.isolated:
+                    self.apply_effects(to, self.all[to].heard(self.now, sender, 1, message))
             for name, record in self.all.items():
                 record.known_members = tuple(self.all)
-                if self.now >= record.due and name not in self.deaf:
-                    self.do(name, record.tick(self.now))
+                if self.now >= record.due and name not in self.isolated:
+                    self.apply_effects(name, record.tick(self.now))
         return until()
 
-    def do(self, name: str, effects: list) -> None:
+    def apply_effects(self, name: str, effects: list) -> None:
         for effect in effects:
             if isinstance(effect, Send):
-                self.words.append((name, effect.to, effect.message))
+                self.messages.append((name, effect.to, effect.message))
             elif isinstance(effect, Persist):
-                self.do(name, self.all[name].handle_persisted(self.now, effect.number))
+                self.apply_effects(name, self.all[name].handle_persisted(self.now, effect.number))
 
     def leader(self) -> RaftNode | None:
-        return next((one for name, one in self.all.items() if one.is_leader and name not in self.deaf), None)
+        return next(
+            (one for name, one in self.all.items() if one.is_leader and name not in self.isolated), None
+        )
 
 
 def shows_a_voter_that_is_gone_is_replaced_by_a_newcomer_and_never_votes_again_by_itself() -> None:
-    fleet = Voters("abc")
-    assert fleet.run(
-        3000.0, lambda: fleet.leader() is not None and fleet.leader().stable_voters() is not None
+    cluster = ConsensusCluster("abc")
+    assert cluster.run(
+        3000.0, lambda: cluster.leader() is not None and cluster.leader().stable_voters() is not None
     )
-    leader = fleet.leader()
-    gone = next(name for name in "abc" if name != leader.name)
-    fleet.deaf.add(gone)
-    fleet.add("d", [leader.name], True)
-    assert not fleet.all["d"].voters().get("d")
-    leader.wanted_voters = tuple(sorted({*"abcd"} - {gone}))
-    assert fleet.run(5000.0, lambda: "d" in (leader.stable_voters() or {}))
+    leader = cluster.leader()
+    replaced = next(name for name in "abc" if name != leader.name)
+    cluster.isolated.add(replaced)
+    cluster.add("d", [leader.name], True)
+    assert not cluster.all["d"].voters().get("d")
+    leader.wanted_voters = tuple(sorted({*"abcd"} - {replaced}))
+    assert cluster.run(5000.0, lambda: "d" in (leader.stable_voters() or {}))
     assert set(leader.stable_voters()) == set(leader.wanted_voters)
-    # Two of the new three agree, with the old one's vote counting for nothing.
-    third = next(name for name in "abc" if name not in (gone, leader.name))
-    assert fleet.run(2000.0, lambda: fleet.all["d"].standing is Standing.VOTING)
-    fleet.deaf = {third}
-    number, effects = leader.propose(fleet.now, put("k", b"v"))
-    fleet.do(leader.name, effects)
-    assert fleet.run(2000.0, lambda: leader.state_machine.values.get("k") is not None), number
-    fleet.deaf = set()
-    old = fleet.all[gone]
-    fleet.do(gone, old.handle_voted_out(fleet.now))
-    assert old.standing is Standing.REPLACED and old.id != f"folder of {gone}"
-    assert fleet.run(
+    # Two of the three new voters form a majority; the vote of the replaced one does not count.
+    third = next(name for name in "abc" if name not in (replaced, leader.name))
+    assert cluster.run(2000.0, lambda: cluster.all["d"].standing is Standing.VOTING)
+    cluster.isolated = {third}
+    number, effects = leader.propose(cluster.now, put("k", b"v"))
+    cluster.apply_effects(leader.name, effects)
+    assert cluster.run(2000.0, lambda: leader.state_machine.values.get("k") is not None), number
+    cluster.isolated = set()
+    old = cluster.all[replaced]
+    cluster.apply_effects(replaced, old.handle_voted_out(cluster.now))
+    assert old.standing is Standing.REPLACED and old.id != f"folder of {replaced}"
+    assert cluster.run(
         3000.0, lambda: old.state_machine.values.get("k") is not None
-    )  # it learns, and does not vote
-    assert gone not in leader.stable_voters()
+    )  # it receives the log as a learner
+    assert replaced not in leader.stable_voters()
 
 
 def shows_a_leader_without_a_majority_grants_nothing_and_moves_nothing() -> None:
-    fleet = Voters("abc")
-    assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().stable_voters()))
-    leader = fleet.leader()
-    assert fleet.run(300.0, lambda: leader.has_recent_quorum(fleet.now, QUORUM_FRESH_MS))
+    cluster = ConsensusCluster("abc")
+    assert cluster.run(
+        3000.0, lambda: cluster.leader() is not None and bool(cluster.leader().stable_voters())
+    )
+    leader = cluster.leader()
+    assert cluster.run(300.0, lambda: leader.has_recent_quorum(cluster.now, QUORUM_FRESH_MS))
     coordinator = Coordinator(1200.0)
     coordinator.majority_is_recent = lambda now: leader.has_recent_quorum(now, QUORUM_FRESH_MS)
-    coordinator.become_leader(fleet.now, leader.term)
-    coordinator.roster_changed(fleet.now, ["a", "b"])
+    coordinator.become_leader(cluster.now, leader.term)
+    coordinator.roster_changed(cluster.now, ["a", "b"])
     place = {"role": "store", "zone": "z", "node": "n"}
     for name in "ab":
-        coordinator.joined(fleet.now, name, JoinRequest(**place, incarnation=name, view=View()))
+        coordinator.joined(cluster.now, name, JoinRequest(**place, incarnation=name, view=View()))
     renewal = RenewRequest(**place, incarnation="a", update_number=0, term=leader.term)
-    assert coordinator.view.number != (0, 0) and coordinator.renewed(fleet.now, "a", renewal)
+    assert coordinator.view.number != (0, 0) and coordinator.renewed(cluster.now, "a", renewal)
     number = coordinator.view.number
-    fleet.deaf.add(leader.name)
-    for _ in range(90):  # it hears nobody, and takes nobody for gone either
-        fleet.run(10.0)
+    cluster.isolated.add(leader.name)
+    for _ in range(90):  # it receives nothing, and does not regard anyone as gone
+        cluster.run(10.0)
         if leader.is_leader:
-            fleet.do(leader.name, leader.tick(fleet.now))
-        told = coordinator.tick(fleet.now)
-        assert coordinator.view.number == number and not [one for one in told if isinstance(one, SendUpdate)]
-    assert not coordinator.renewed(fleet.now, "a", renewal)
+            cluster.apply_effects(leader.name, leader.tick(cluster.now))
+        effects = coordinator.tick(cluster.now)
+        assert coordinator.view.number == number and not [
+            one for one in effects if isinstance(one, SendUpdate)
+        ]
+    assert not coordinator.renewed(cluster.now, "a", renewal)
 
 
 def shows_voters_back_from_a_loss_of_power_lead_soon_though_one_has_lost_its_disk() -> None:
-    fleet = Voters("abc")
-    assert fleet.run(3000.0, lambda: fleet.leader() is not None and bool(fleet.leader().stable_voters()))
-    fleet.run(300.0)
-    wiped, *rest = sorted(fleet.all, key=lambda name: not fleet.all[name].is_leader)
-    fleet.words = []
+    cluster = ConsensusCluster("abc")
+    assert cluster.run(
+        3000.0, lambda: cluster.leader() is not None and bool(cluster.leader().stable_voters())
+    )
+    cluster.run(300.0)
+    wiped, *rest = sorted(cluster.all, key=lambda name: not cluster.all[name].is_leader)
+    cluster.messages = []
     for name in rest:
-        old = fleet.all[name]
-        held = StoredState(old.id, old.term, old.vote, first=old.first, entries=tuple(old.entries))
-        fleet.all[name] = RaftNode(name, 2, list("abc"), held, fleet.now, 8)
-    fleet.add(wiped, list(rest), True)
-    began = fleet.now
-    assert fleet.run(2000.0, lambda: fleet.leader() is not None)
-    assert fleet.leader().name != wiped and fleet.now - began < 450.0, fleet.now - began
+        old = cluster.all[name]
+        stored = StoredState(old.id, old.term, old.vote, first=old.first, entries=tuple(old.entries))
+        cluster.all[name] = RaftNode(name, 2, list("abc"), stored, cluster.now, 8)
+    cluster.add(wiped, list(rest), True)
+    began = cluster.now
+    assert cluster.run(2000.0, lambda: cluster.leader() is not None)
+    assert cluster.leader().name != wiped and cluster.now - began < 450.0, cluster.now - began
 
 
 def shows_the_record_is_read_back_as_it_was_kept() -> None:
     folder = RecordStorage([])
     found = dict(folder.initial_write(["a", "b"]))
 
-    def keep(*deeds):
-        for key, value in folder.make_write(deeds):
+    def keep(*operations):
+        for key, value in folder.make_write(operations):
             found.pop(key, None) if value is None else found.update({key: value})
 
     entries = [Entry(1, 1, "a", at, b"x") for at in range(4)]
     keep(HardState(1, "v"), *(AppendToLog(at, one) for at, one in enumerate(entries, 1)))
     keep(TruncateLog(2), AppendToLog(3, entries[3]))
-    held = RecordStorage(found.items()).stored_state
-    assert (held.term, held.vote, held.first) == (1, "v", 1)
+    stored = RecordStorage(found.items()).stored_state
+    assert (stored.term, stored.vote, stored.first) == (1, "v", 1)
     assert RecordStorage(found.items()).initial_voters == ("a", "b")
-    assert held.entries == (entries[0], entries[1], entries[3])
+    assert stored.entries == (entries[0], entries[1], entries[3])
     keep(ReplaceLog("id", HardState(2, ""), None, 3, 1, (entries[2],)))
-    held = RecordStorage(found.items()).stored_state
-    assert (held.id, held.first, held.entries) == ("id", 3, (entries[2],))
+    stored = RecordStorage(found.items()).stored_state
+    assert (stored.id, stored.first, stored.entries) == ("id", 3, (entries[2],))
 
 
 def shows_a_folder_that_is_damaged_counts_as_a_lost_disk() -> None:
@@ -583,14 +592,15 @@
         again.close()
         file = Path(place) / "data.mdb"
         file.write_bytes(file.read_bytes().replace(b"oneone", b"onyone"))
-        spoilt = Disk(Path(place), 16)
-        spoilt.open()
-        assert spoilt.lost and not list(spoilt.load(b""))
+        damaged = Disk(Path(place), 16)
+        damaged.open()
+        assert damaged.lost and not list(damaged.load(b""))
         assert (Path(place) / "data.mdb.damaged").exists()
 
 
 class RefusingEnvironment:
-    """As lmdb is after it could not write its meta page: all is refused until the file is opened anew."""
+    """Fails like lmdb after a failed write of its meta page: every transaction, until the file is
+    reopened."""
 
     def begin(self, write=False):
         raise lmdb.PanicError("mdb_txn_begin: MDB_PANIC")
@@ -611,9 +621,9 @@
             except lmdb.PanicError:
                 disk._retry_at = inf
             else:
-                raise AssertionError("a refused write was told as kept")
+                raise AssertionError("a rejected write was reported as stored")
         assert await disk.read(b"m1") == b"one"
-        disk._retry_at = 0.0  # the pause is over
+        disk._retry_at = 0.0  # the pause has ended
         await disk.write([(b"m3", b"three")])
         assert await disk.read(b"m3") == b"three" and await disk.read(b"m2") is None
         disk.close()
@@ -642,7 +652,7 @@
     with tempfile.TemporaryDirectory() as place:
         file = Path(place) / "s.yaml"
         file.write_text(good)
-        assert main(["edge", "--settings", str(file)]) == 2  # no address for clients
+        assert main(["edge", "--settings", str(file)]) == 2  # the address for clients is missing
         assert main(["store", "--settings", str(Path(place) / "none")]) == 2
         assert main(["check", str(file)]) == 0
 
@@ -650,7 +660,7 @@
 def shows_a_log_that_nobody_reads_holds_nobody_up() -> None:
     reader, writer = os.pipe()
     log = Log("store-1", LogWriter(writer))
-    for number in range(300):  # ten times what the pipe holds
+    for number in range(300):  # ten times the capacity of the pipe
         log.event("order", number=number, why="x" * 2000)
     text = b""
     while text.count(b"\n") < 300:
