--- a/tests/control_incidents.py
+++ b/tests/control_incidents.py
@@ -1,5 +1,5 @@
-"""Incidents of the control side in simulated time: the real control service, record, links and members, on
-simulated machines. Each is what the users met on their worst days."""
+"""Incidents of the control plane in virtual time: the real control service, replicated log, links and members
+run on simulated machines. Each scene reproduces an incident that users had."""
 
 import asyncio
 from collections import Counter
@@ -25,7 +25,7 @@
 
 
 class Incident(ControlSimulation):
-    """Three stores and an edge, come together; then a scene, without other callers or faults."""
+    """Starts three stores and an edge, then runs a scene without other clients or faults."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, SimulationConfig(stores=3, losses=1, edges=1, operators=0, workers=0))
@@ -47,27 +47,27 @@
         finally:
             asyncio._set_running_loop(None)
         self.cluster.request_loss = self.cluster.response_loss = 0.0
-        self.checker.settled = lambda: False  # the scene itself judges what is late
+        self.checker.settled = lambda: False  # the scene itself checks time limits
         self._run_until(12.0, self._has_started)
         task = self._spawn(scene(self))
         self._run_until(120.0, task.done)
-        assert self.checker.violation is not None or task.done(), "it hangs"
+        assert self.checker.violation is not None or task.done(), "the scene did not end within 120 s"
         if task.done():
             task.result()
 
     async def call(
         self, at: Machine, method: str, target: str, body: bytes = b"", **headers: str
     ) -> HttpResponse:
-        """One call at one machine; 0 where it says nothing for a second."""
-        given = tuple((name.replace("_", "-").encode(), text.encode()) for name, text in headers.items())
-        got = await self.cluster.call(at.control, method, target, body, given, lambda: None)
-        return got if got is not None else HttpResponse(0)
+        """Calls one machine. The status is 0 without a response within a second."""
+        encoded = tuple((name.replace("_", "-").encode(), text.encode()) for name, text in headers.items())
+        response = await self.cluster.call(at.control, method, target, body, encoded, lambda: None)
+        return response if response is not None else HttpResponse(0)
 
     async def order(self, at: Machine, base: int, body: bytes) -> int:
         return (await self.call(at, "POST", "/v1/config/replace", body, base_version=str(base))).status
 
     def body(self) -> bytes:
-        """Of an order for the next version, that nobody else sends."""
+        """Returns the body of an order for the next revision, which no other caller sends."""
         self._sent += 1
         tag, revision = f"order-{self._sent}", self.revision + 1
         body = canonical(document(revision, tag, self.rng))
@@ -76,19 +76,19 @@
         )
         return body
 
-    async def clear_answer(self, machines: list[Machine], base: int, body: bytes) -> int:
-        """Sent again, to one machine after the other, until the answer is clear."""
+    async def conclusive_answer(self, machines: list[Machine], base: int, body: bytes) -> int:
+        """Sends an order to one machine after the other until it gets a conclusive answer."""
         for attempt in range(60):
             status = await self.order(machines[attempt % len(machines)], base, body)
             if status == 200 or 400 <= status < 500:
                 return status
             await asyncio.sleep(0.1)
-        raise AssertionError("no clear answer")
+        raise AssertionError("no conclusive answer")
 
     async def change(self, machines: list[Machine]) -> None:
-        """The next version."""
+        """Brings the next revision in force."""
         body = self.body()
-        assert await self.clear_answer(machines, self.revision, body) == 200
+        assert await self.conclusive_answer(machines, self.revision, body) == 200
         self.revision += 1
 
     def others(self, machine: Machine) -> list[Machine]:
@@ -101,44 +101,48 @@
 
 
 class _CutOff:
-    """Callers who reach only a machine that is cut off, while others reach the rest."""
+    """Clients that reach only a machine that is cut off, while others reach the rest."""
 
     def __init__(self, incident: Incident, cut: Machine) -> None:
-        self.incident, self.cut, self.begun = incident, cut, incident.cluster.now()
+        self.incident, self.cut, self.cut_at = incident, cut, incident.cluster.now()
         self.answers: Counter[int] = Counter()
 
-    def passed(self) -> float:
-        """ms"""
-        return self.incident.cluster.now() - self.begun
+    def elapsed_ms(self) -> float:
+        """Returns the ms since the cut."""
+        return self.incident.cluster.now() - self.cut_at
 
     async def reads(self) -> None:
-        while self.passed() < CUT_S * 1000.0:
+        while self.elapsed_ms() < CUT_S * 1000.0:
             known = self.incident.revision
             read = await self.incident.call(self.cut, "GET", "/v1/config/read")
             assert read.status in (0, 200, 307, 503), read
             if read.status == 200:
-                assert orjson.loads(read.body)["revision"] >= known, "it hands out an old version"
+                assert (
+                    orjson.loads(read.body)["revision"] >= known
+                ), "the isolated machine returned an old revision"
             await asyncio.sleep(0.04)
 
     async def orders(self) -> None:
-        while self.passed() < (CUT_S - 5.0) * 1000.0:
+        while self.elapsed_ms() < (CUT_S - 5.0) * 1000.0:
             status = await self.incident.order(self.cut, self.incident.revision, self.incident.body())
-            assert status in (0, 307, 503, 504), f"an order there is answered {status}"
+            assert status in (0, 307, 503, 504), f"the isolated machine answered an order with {status}"
             self.answers[status] += 1
             await asyncio.sleep(0.2)
 
     async def heartbeats(self) -> None:
-        while self.passed() < CUT_S * 1000.0:
-            asked = self.passed()
+        while self.elapsed_ms() < CUT_S * 1000.0:
+            sent_at = self.elapsed_ms()
             heartbeat = {"backend": "b", "address": "10.9.0.1:9000", "zone": "z", "capacity": 1}
-            heartbeat |= {"phase": "ready", "callCount": int(asked)}
+            heartbeat |= {"phase": "ready", "callCount": int(sent_at)}
             body = orjson.dumps(heartbeat)
             response = await self.incident.call(self.cut, "POST", "/v1/instances/w/heartbeat", body)
-            assert response.status != 200 or asked < 1.5 * QUORUM_FRESH_MS, "it acknowledges a worker's call"
+            assert (
+                response.status != 200 or sent_at < 1.5 * QUORUM_FRESH_MS
+            ), "the isolated machine acknowledged a heartbeat"
             await asyncio.sleep(0.1)
 
     async def changes(self, rest: list[Machine]) -> None:
-        while self.passed() < CUT_S * 1000.0:
+        while self.elapsed_ms() < CUT_S * 1000.0:
             await self.incident.change(rest)
             await asyncio.sleep(0.1)
 
@@ -171,20 +175,22 @@
     await incident.change(stores)
     leader = cluster.leader()
     base, body = incident.revision, incident.body()
-    sending = incident._spawn(incident.order(leader, base, body))
+    call = incident._spawn(incident.order(leader, base, body))
     while leader.program.control.state.revision == base:
         await asyncio.sleep(0.001)
-    cluster.kill(leader)  # in force, and nobody was told
-    assert await sending == 0
+    cluster.kill(leader)  # the order is in force, but was not answered
+    assert await call == 0
     rest = [store for store in stores if store is not leader]
-    assert await incident.clear_answer(rest, base, body) == 200
+    assert await incident.conclusive_answer(rest, base, body) == 200
     incident.revision += 1
     for _ in range(80):
         await incident.change(rest)
-    assert await incident.clear_answer(rest, base, body) == 200, "eighty orders later"
+    assert (
+        await incident.conclusive_answer(rest, base, body) == 200
+    ), "not acknowledged after eighty later orders"
     cluster.start(leader)
     await asyncio.sleep(3.0)
-    assert await incident.clear_answer(rest, base, body) == 200
+    assert await incident.conclusive_answer(rest, base, body) == 200
 
 
 def shows_an_order_whose_answer_was_lost_is_acknowledged_again_by_whoever_leads() -> None:
@@ -199,17 +205,17 @@
     for _ in range(8):
         base = incident.revision
         bodies = [incident.body() for _ in range(4)]
-        # Each sends again at once, as after a reset: eight under way.
+        # Each order is sent twice at once, as after a connection reset: eight calls in flight.
         machines = [cluster.leader(), *stores]
-        sendings = [incident.clear_answer(machines, base, body) for body in bodies for _ in range(2)]
-        answers = await asyncio.gather(*sendings)
-        verdicts = list(zip(answers[::2], answers[1::2], strict=True))
-        assert sorted(verdicts) == [(200, 200), (412, 412), (412, 412), (412, 412)], verdicts
+        calls = [incident.conclusive_answer(machines, base, body) for body in bodies for _ in range(2)]
+        answers = await asyncio.gather(*calls)
+        outcomes = list(zip(answers[::2], answers[1::2], strict=True))
+        assert sorted(outcomes) == [(200, 200), (412, 412), (412, 412), (412, 412)], outcomes
         incident.revision += 1
-        won = bodies[verdicts.index((200, 200))]
+        accepted = bodies[outcomes.index((200, 200))]
         read = await incident.call(cluster.leader(), "GET", "/v1/config/read")
-        assert canonical(orjson.loads(read.body)) == won
-    assert record.state_machine.last - before < 2 * 8, "those that lose are not written"
+        assert canonical(orjson.loads(read.body)) == accepted
+    assert record.state_machine.last - before < 2 * 8, "rejected orders were written to the log"
 
 
 def shows_of_four_operators_under_one_number_one_is_confirmed_both_times_it_asks() -> None:
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -1,7 +1,8 @@
-"""Mistakes planted into the control side, each of which the walks must find; and the program that plays them.
+"""Mistakes planted into the control plane, which the simulation must detect, and the program that checks
+this.
 
-`python -m tests.control_mistakes --seeds 40 --jobs 4 [NAME ...]` says how many walks each needed. It is a
-program of its own so that its processes begin without the runner's threads.
+`python -m tests.control_mistakes --seeds 40 --jobs 4 [NAME ...]` prints how many runs each mistake needed. It
+is a separate program so that its worker processes start without the threads of the test runner.
 """
 
 import argparse
@@ -44,8 +45,8 @@
 from sableford.transport.pending_calls import PendingCalls
 
 
-def replaced(owner: Any, name: str, make: Callable[[Callable], Callable]) -> Any:
-    """A patch of one function or constant; `make` gets the original."""
+def patch_of(owner: Any, name: str, make: Callable[[Callable], Callable]) -> Any:
+    """Returns a patch of one function or constant; `make` gets the original."""
     return mock.patch.object(owner, name, make(getattr(owner, name)))
 
 
@@ -60,7 +61,7 @@
 
 
 def leads_while_it_believes(original: Callable) -> Callable:
-    """Whether a majority has answered lately is not looked at."""
+    """Does not check whether a majority has answered recently."""
     return lambda self: self.leads
 
 
@@ -68,7 +69,7 @@
     return 1e9  # ms without a majority
 
 
-def acknowledged_before_agreed(original: Callable) -> Callable:
+def acknowledged_before_commit(original: Callable) -> Callable:
     async def propose(self: RecordDriver, data: bytes | None, *given: Any) -> Any:
         if data is None:
             return await original(self, data, *given)
@@ -92,7 +93,7 @@
 
 
 def order_id_not_kept(original: Callable) -> Callable:
-    """Which order made a version is forgotten."""
+    """Forgets which order produced a revision."""
     return lambda self, order_id: None
 
 
@@ -115,7 +116,7 @@
 
 
 def late_heartbeat_accepted(original: Callable) -> Callable:
-    """Neither the count of a worker's calls nor what it said of its end is looked at."""
+    """Checks neither the call count of a worker nor whether it has announced its departure."""
 
     def put(self: WorkerTable, now: float, entry: Worker) -> Worker | None:
         self._departed.pop(entry.id, None)
@@ -126,7 +127,7 @@
 
 
 def update_of_older_term_accepted(original: Callable) -> Callable:
-    """Neither the term nor the revision of what is told is looked at."""
+    """Checks neither the term nor the revision of an update."""
 
     def apply_update(self: MemberClient, link: Link, update: Update) -> None:
         if update.term < self.term:
@@ -136,29 +137,29 @@
     return apply_update
 
 
-# The record
+# Replicated log
 
 
 def term_not_compared(original: Callable) -> Callable:
-    """Entries of an older term, and their answers, pass for the present one's."""
+    """Accepts entries of an older term, and responses to them, as if they were of the current one."""
 
-    def heard(self: RaftNode, now: float, sender: str, birth: int, message: Any) -> Any:
+    def heard(self: RaftNode, now: float, sender: str, incarnation: int, message: Any) -> Any:
         old = isinstance(message, AppendRequest) and message.term < self.term
         other = isinstance(message, AppendResponse) and self.is_leader
         return original(
-            self, now, sender, birth, replace(message, term=self.term) if old or other else message
+            self, now, sender, incarnation, replace(message, term=self.term) if old or other else message
         )
 
     return heard
 
 
 def answered_before_synced(original: Callable) -> Callable:
-    """Votes and entries are spoken of before the disk has them."""
+    """Sends votes and acknowledges entries before they are on disk."""
 
     def keep(self: RaftNode, *operations: object, then: list | None = None) -> list:
         own = [effect for effect in then or [] if isinstance(effect, OwnVoteDurable)]
-        told = [effect for effect in then or [] if effect not in own]
-        return [*original(self, *operations, then=own), *told]
+        others = [effect for effect in then or [] if effect not in own]
+        return [*original(self, *operations, then=own), *others]
 
     return keep
 
@@ -168,7 +169,7 @@
 
 
 def newcomer_counted_at_once(original: Callable) -> Callable:
-    """How far a joining voter has come is not looked at."""
+    """Does not check how far a joining voter has caught up."""
 
     def change(self: RaftNode, now: float) -> list:
         self._learners = {name: one._replace(caught_up=True) for name, one in self._learners.items()}
@@ -178,7 +179,7 @@
 
 
 def newcomer_counts_as_holding_all(original: Callable) -> Callable:
-    """A voter that has just come is counted for entries that it was not sent."""
+    """Counts a new voter for entries that were not sent to it."""
 
     def set_voters(self: RaftNode) -> None:
         before = set(self._followers)
@@ -190,16 +191,16 @@
 
 
 def old_snapshot(original: Callable) -> Callable:
-    """A snapshot names a later entry than the one that its values are from."""
+    """Labels a snapshot with a later entry than the one that its values are from."""
     return lambda self, voters: replace(made := original(self, voters), last=made.last + 5)
 
 
-def offers_taken_twice(original: Callable) -> Callable:
+def proposals_accepted_twice(original: Callable) -> Callable:
     return lambda self, author, number: None
 
 
 def entry_of_another_term_kept(original: Callable) -> Callable:
-    """A follower does not compare the term of the entry before."""
+    """A follower does not compare the term of the previous entry."""
 
     def appended(self: RaftNode, now: float, sender: str, message: AppendRequest) -> Any:
         if message.prev <= self.last and message.prev >= self.first:
@@ -212,8 +213,8 @@
 # Calls
 
 
-def next_answer_taken(original: Callable) -> Callable:
-    """An answer is the oldest waiting call's."""
+def response_to_wrong_call(original: Callable) -> Callable:
+    """Gives a response to the oldest pending call."""
 
     def resolve(self: PendingCalls, number: int, frame: Frame) -> bool:
         return original(self, next(iter(self._calls), number), frame)
@@ -221,7 +222,7 @@
     return resolve
 
 
-def asked_again_after_silence(original: Callable) -> Callable:
+def request_repeated_after_silence(original: Callable) -> Callable:
     def request(self: Link, message: PeerRequest, body: bytes = b"") -> asyncio.Future:
         future = original(self, message, body)
         again = self._loop.call_later(0.1, lambda: None if future.done() else self.send(message, body))
@@ -234,8 +235,8 @@
 # Duties
 
 
-def stores_told_before_agreed(original: Callable) -> Callable:
-    """Of holders and of windows."""
+def stores_notified_before_commit(original: Callable) -> Callable:
+    """Announces holders and windows before a majority has committed them."""
 
     async def propose(self: DutyManager, wanted: DutyState) -> None:
         before, self.state = self.state, wanted
@@ -255,7 +256,7 @@
 
 
 def epoch_from_memory(original: Callable) -> Callable:
-    """A leader counts epochs itself, and begins anew when it begins to lead."""
+    """A leader counts epochs in memory, and starts again when it is elected."""
 
     def become_leader(self: DutyManager) -> None:
         original(self)
@@ -264,22 +265,22 @@
     return become_leader
 
 
-def handed_back(original: Callable) -> Callable:
-    def next_holder(duty: str, state: DutyState, there: dict, barred: set) -> Candidate | None:
-        before = [one for one in there.values() if state.previous[-1:] == (one.node,) and one.able]
-        return before[0] if before else original(duty, state, there, set())
+def duty_handed_back(original: Callable) -> Callable:
+    def next_holder(duty: str, state: DutyState, candidates: dict, barred: set) -> Candidate | None:
+        before = [one for one in candidates.values() if state.previous[-1:] == (one.node,) and one.able]
+        return before[0] if before else original(duty, state, candidates, set())
 
     return next_holder
 
 
 def lease_looked_at_once(original: Callable) -> Callable:
-    """As the first call under an epoch is made."""
+    """Checks the lease only for the first call under an epoch."""
 
     def may_send(self: Holding, call: Call, holds_lease: bool, leaving: bool) -> bool:
-        looked_at = getattr(self, "looked_at", 0)
-        if call.epoch > looked_at and original(self, call, holds_lease, leaving):
-            self.looked_at = call.epoch
-        return getattr(self, "looked_at", 0) == call.epoch and self.is_named()
+        checked_epoch = getattr(self, "checked_epoch", 0)
+        if call.epoch > checked_epoch and original(self, call, holds_lease, leaving):
+            self.checked_epoch = call.epoch
+        return getattr(self, "checked_epoch", 0) == call.epoch and self.is_named()
 
     return may_send
 
@@ -288,12 +289,12 @@
     return 1e9
 
 
-def refusal_passed_over(original: Callable) -> Callable:
+def rejection_ignored(original: Callable) -> Callable:
     return lambda self, call: None
 
 
-def windows_of_memory(original: Callable) -> Callable:
-    """What is sent is what the leader has counted by then, and not what is sealed."""
+def unsealed_windows_sent(original: Callable) -> Callable:
+    """Sends the counts that the leader has by then instead of the sealed ones."""
 
     def notice(self: DutyManager, sealed: dict) -> DutyNotice:
         counted = {window: self._ledger.totals(window) or counts for window, counts in sealed.items()}
@@ -307,14 +308,15 @@
 
 
 class Mistake(NamedTuple):
-    """A patch of one function, the judges who must find it, and a shape of walk in which they can."""
+    """A patch of one function, the rules of which one must detect it, and parameters of runs in which it
+    shows."""
 
     owner: Any
     name: str
     make: Callable
     rules: set[str]
     config: SimulationConfig = SimulationConfig(seconds=5.0, operators=3, pace_ms=200.0)
-    also: tuple[tuple[Any, str, Callable], ...] = ()  # further safeguards that would hide it
+    also: tuple[tuple[Any, str, Callable], ...] = ()  # patches of other safeguards that would hide it
 
 
 CUTS = ("cut", "cut_some", "freeze")
@@ -342,15 +344,15 @@
 STUCK = {"not acknowledged", "drain not acknowledged", "no leader", "closing read", "not caught up"}
 REPEATS = {"repeat refused", "refused in force", "refused"}
 
-LEADS = ControlService, "leads_with_majority", leads_while_it_believes
-STEPS_DOWN = replication, "QUORUM_TIMEOUT", never_steps_down
+LEADER_CHECK = ControlService, "leads_with_majority", leads_while_it_believes
+LEADER_TIMEOUT = replication, "QUORUM_TIMEOUT", never_steps_down
 
 MISTAKES = {
     "reads are served without asking a majority": Mistake(
-        RecordDriver, "propose", reads_without_majority, LOST, LEADERS, also=(LEADS, STEPS_DOWN)
+        RecordDriver, "propose", reads_without_majority, LOST, LEADERS, also=(LEADER_CHECK, LEADER_TIMEOUT)
     ),
     "orders are acknowledged before they are agreed on": Mistake(
-        RecordDriver, "propose", acknowledged_before_agreed, LOST, MANY_OPERATORS
+        RecordDriver, "propose", acknowledged_before_commit, LOST, MANY_OPERATORS
     ),
     "an order's base is not compared": Mistake(order_process, "decide", base_not_compared, LOST | REPEATS),
     "an order is put without compare-and-set": Mistake(
@@ -400,23 +402,27 @@
     "a snapshot is older than what follows it": Mistake(
         StateMachine, "snapshot", old_snapshot, LOST | REPEATS | {"unforeseen"}, LONG
     ),
-    "an offer said again is taken again": Mistake(StateMachine, "known", offers_taken_twice, REPEATS, RACES),
+    "an offer said again is taken again": Mistake(
+        StateMachine, "known", proposals_accepted_twice, REPEATS, RACES
+    ),
     "an answer is given to the next call that waits": Mistake(
-        PendingCalls, "resolve", next_answer_taken, {"wrong answer", "unforeseen"}
+        PendingCalls, "resolve", response_to_wrong_call, {"wrong answer", "unforeseen"}
+    ),
+    "a call is sent again after silence": Mistake(
+        Link, "request", request_repeated_after_silence, {"sent twice"}
     ),
-    "a call is sent again after silence": Mistake(Link, "request", asked_again_after_silence, {"sent twice"}),
     "a holder is told before a majority has agreed": Mistake(
         DutyManager,
         "_propose",
-        stores_told_before_agreed,
+        stores_notified_before_commit,
         {"token", "contents", "late", "too many"},
         DUTIES._replace(operators=0, workers=0, kinds=("cut",)),
-        also=((ControlService, "_majority_is_recent", members_known_without_majority), STEPS_DOWN),
+        also=((ControlService, "_majority_is_recent", members_known_without_majority), LEADER_TIMEOUT),
     ),
     "counts are sent that are not sealed": Mistake(
         DutyManager,
         "_notice",
-        windows_of_memory,
+        unsealed_windows_sent,
         {"contents"},
         DUTIES,
         also=((UsageLedger, "sealed", windows_not_forgotten),),
@@ -426,7 +432,7 @@
         DutyManager, "become_leader", epoch_from_memory, {"token", "late", "missing", "off"}, DUTIES
     ),
     "a duty goes back to the one before": Mistake(
-        duty_manager, "next_holder", handed_back, {"A, B, A"}, HOLDERS
+        duty_manager, "next_holder", duty_handed_back, {"A, B, A"}, HOLDERS
     ),
     "the lease is looked at once before several calls": Mistake(
         Holding, "may_send", lease_looked_at_once, {"late"}, HOLDERS
@@ -434,7 +440,7 @@
     "a refused holder goes on": Mistake(
         Holding,
         "refused",
-        refusal_passed_over,
+        rejection_ignored,
         {"refused"},
         HOLDERS,
         also=((Holding, "may_send", lease_looked_at_once), (walk_platform, "LATE_MS", never_late)),
@@ -442,27 +448,29 @@
 }
 
 
-def finding_of(seed: int, config: SimulationConfig) -> Violation | None:
+def violation_of(seed: int, config: SimulationConfig) -> Violation | None:
     try:
         ControlSimulation(seed, config).play()
-    except Violation as finding:
-        return finding
+    except Violation as violation:
+        return violation
     return None
 
 
-def found(name: str, seed: int) -> str:
-    """What a walk with the mistake finds and the same walk without it doesn't."""
+def violation_caused_by(name: str, seed: int) -> str:
+    """Returns the violation that a run with the mistake reports, or "" if the same run without it reports one
+    too."""
     mistake = MISTAKES[name]
     with ExitStack() as patches:
         for owner, function, make in ((mistake.owner, mistake.name, mistake.make), *mistake.also):
-            patches.enter_context(replaced(owner, function, make))
-        finding = finding_of(seed, mistake.config)
-    if finding is None or finding.rule not in mistake.rules or finding_of(seed, mistake.config):
+            patches.enter_context(patch_of(owner, function, make))
+        violation = violation_of(seed, mistake.config)
+    if violation is None or violation.rule not in mistake.rules or violation_of(seed, mistake.config):
         return ""
-    return f"{finding.rule}: {finding.text}"
+    return f"{violation.rule}: {violation.text}"
 
 
-# Found in a few short walks; the others are for the long command: some need dozens, some were not found.
+# Found in a few short runs. Of the others, which are for the long command, some need dozens of runs and some
+# were not found.
 QUICK = (
     "reads are served without asking a majority",
     "orders are acknowledged before they are agreed on",
@@ -475,9 +483,9 @@
 )
 
 
-def needed(name: str, seeds: int, pool: Any) -> tuple[int, str]:
-    """How many walks it took, 0 where none found it; and what was found."""
-    for seed, what in enumerate(pool.imap(partial(found, name), range(seeds))):
+def runs_needed(name: str, seeds: int, pool: Any) -> tuple[int, str]:
+    """Returns the number of runs needed, 0 if none found the mistake, and the violation."""
+    for seed, what in enumerate(pool.imap(partial(violation_caused_by, name), range(seeds))):
         if what:
             return seed + 1, what
     return 0, ""
@@ -486,14 +494,14 @@
 def main() -> int:
     parser = argparse.ArgumentParser(prog="tests.control_mistakes")
     parser.add_argument("names", nargs="*")
-    parser.add_argument("--quick", action="store_true", help="just those that a few walks find")
+    parser.add_argument("--quick", action="store_true", help="only the mistakes that a few runs find")
     parser.add_argument("--seeds", type=int, default=40)
     parser.add_argument("--jobs", type=int, default=2)
     arguments = parser.parse_args()
     missed = []
     for name in arguments.names or (QUICK if arguments.quick else MISTAKES):
         with Pool(arguments.jobs) as pool:
-            walks, what = needed(name, arguments.seeds, pool)
+            walks, what = runs_needed(name, arguments.seeds, pool)
         print(f"{walks or 'NOT FOUND in ' + str(arguments.seeds)} walks: {name} ({what[:120]})", flush=True)
         missed += [] if walks else [name]
     print(f"{len(missed)} not found")
