--- a/sableford/simulation/stores/__init__.py
+++ b/sableford/simulation/stores/__init__.py
@@ -1,8 +1,8 @@
 """Deterministic simulation of the message queue and the coordinator in virtual time: stores, a leader, an
 edge, clients and workers, with faults drawn from a seed. It is checked by what clients and workers observe.
 
-`Simulation(seed).play()` raises Wrong with the history of the message concerned. It uses no sockets, files or
-real time.
+`Simulation(seed).play()` raises RuleViolation with the history of the message concerned. It uses no sockets,
+files or real time.
 """
 
 import itertools
@@ -17,20 +17,20 @@
 from sableford.simulation.stores.effects import Effects
 from sableford.simulation.stores.faults import Faults
 from sableford.simulation.stores.leader import SimulatedLeader
-from sableford.simulation.stores.model import DOC, FAULTS, HistoryEvent, SimulatedStore, Wrong
+from sableford.simulation.stores.model import DOC, FAULTS, HistoryEvent, RuleViolation, SimulatedStore
 from sableford.simulation.stores.store_lifecycle import StoreLifecycle
 from sableford.simulation.stores.traffic import Traffic
 from sableford.store.queue import Queue
 
-__all__ = ["DOC", "FAULTS", "Simulation", "Wrong"]
+__all__ = ["DOC", "FAULTS", "RuleViolation", "Simulation"]
 
 
 class Simulation(SimulatedLeader, StoreLifecycle, Effects, Traffic, Faults):
     """One run: `faults` faults during `seconds`, then a period without, after which all messages must have
     ended.
 
-    `places` has one letter per store, which names its zone. `zones` is how many whole zones may be lost at
-    once.
+    `zone_letters` has one letter per store, which names its zone. `zones` is how many whole zones may be lost
+    at once.
     """
 
     def __init__(
@@ -40,19 +40,20 @@
         kinds: tuple[str, ...] = FAULTS,
         stores: int = 4,
         seconds: float = 14.0,
-        make: Callable[..., Queue] = Queue,
-        per_s: float = 30.0,
+        queue_factory: Callable[..., Queue] = Queue,
+        messages_per_s: float = 30.0,
         delay_ms: float = 1500.0,
-        places: str = "",
+        zone_letters: str = "",
         zones: int = 0,
         doc: dict | None = None,
     ) -> None:
-        self.rng, self.seed, self._queue_factory = Random(f"queue {seed}"), seed, make
+        self.rng, self.seed, self._queue_factory = Random(f"queue {seed}"), seed, queue_factory
         self.now, self._events, self._sequence = 0.0, [], itertools.count()
         self.zones = zones
-        names = [f"s{at}" for at in range(len(places) or stores)]
+        names = [f"s{at}" for at in range(len(zone_letters) or stores)]
         self.stores = {
-            name: SimulatedStore(name, f"z{places[at] if places else at}") for at, name in enumerate(names)
+            name: SimulatedStore(name, f"z{zone_letters[at] if zone_letters else at}")
+            for at, name in enumerate(names)
         }
         self.coordinator = Coordinator(1200.0)
         self.doc = doc or DOC
@@ -86,10 +87,10 @@
         self.view_changes = self.disk_losses = 0
         self.seconds, self.fault_plan = seconds * 1000.0, (faults, kinds)
         # The delay is a maximum, for a fifth of the messages without a key.
-        self._per_s, self._delay_ms = per_s, delay_ms
+        self._messages_per_s, self._delay_ms = messages_per_s, delay_ms
 
     def play(self) -> "Simulation":
-        """Runs the simulation. Raises Wrong."""
+        """Runs the simulation. Raises RuleViolation."""
         for name in self.stores:
             self.start(name, True)
         self.set_leader_up(True)
--- a/sableford/simulation/stores/checker.py
+++ b/sableford/simulation/stores/checker.py
@@ -11,7 +11,7 @@
     STATUS_POLL_MS,
     STATUS_POLL_UNTIL_MS,
     HistoryEvent,
-    Wrong,
+    RuleViolation,
 )
 from sableford.simulation.stores.network import Network
 from sableford.store.messages import State
@@ -92,12 +92,12 @@
         if self.now < self.due_at[first] - EARLY_MS:
             raise self._violation("EARLY", first, ref)
 
-    def _violation(self, rule: str, *refs: str) -> Wrong:
+    def _violation(self, rule: str, *refs: str) -> RuleViolation:
         lines = [f"{rule} in walk {self.seed} at {self.now:.1f}"]
         for ref in dict.fromkeys(refs):
             lines += [f"  {ref}: {event.at} {event.what} {event.facts}" for event in self.history[ref]]
         lines += [f"  trouble {start:.0f} to {end:.0f}" for start, end in self.disruptions]
-        return Wrong("\n".join(lines))
+        return RuleViolation("\n".join(lines))
 
     def shards_served(self) -> int:
         """Returns how many shards are open at an owner that holds a lease."""
--- a/sableford/simulation/stores/effects.py
+++ b/sableford/simulation/stores/effects.py
@@ -87,13 +87,13 @@
                 def copied(accepted: bool | None) -> None:
                     self.apply_effects(store, queue.message_copied(self.now, ref, to, bool(accepted)))
 
-                self._ask(name, to, lambda other, reply: self._copy(other, request, body, reply), copied)
+                self._request(name, to, lambda other, reply: self._copy(other, request, body, reply), copied)
             case CopyFinalState(to, ref, _, final_state):
 
                 def stored(accepted: bool | None) -> None:
                     self.apply_effects(store, queue.final_state_copied(self.now, ref, to, bool(accepted)))
 
-                self._ask(
+                self._request(
                     name,
                     to,
                     lambda other, reply: self._store_final_state(other, ref, final_state, reply),
@@ -107,11 +107,11 @@
                 def copied_all(accepted: bool | None) -> None:
                     self.apply_effects(store, queue.final_states_copied(self.now, to, refs, bool(accepted)))
 
-                self._ask(
+                self._request(
                     name, to, lambda other, reply: self._store_final_states(other, known, reply), copied_all
                 )
             case ListFinalStates(to, number, shards, after, limit):
-                self._ask(
+                self._request(
                     name,
                     to,
                     lambda other, reply: reply(other.queue.list_final_states(shards, after, limit)),
@@ -119,7 +119,7 @@
                 )
             case Pull(to, number, shards, known_refs, with_messages):
                 pull = PullRequest(shards, known_refs, with_messages)
-                self._ask(
+                self._request(
                     name,
                     to,
                     lambda other, reply: self._pull(other, pull, reply),
@@ -130,15 +130,17 @@
                 def answered(known: dict[str, FinalState] | None) -> None:
                     self.apply_effects(store, queue.final_states_answered(self.now, to, number, known))
 
-                self._ask(name, to, lambda other, reply: reply(other.queue.final_states_of(refs)), answered)
+                self._request(
+                    name, to, lambda other, reply: reply(other.queue.final_states_of(refs)), answered
+                )
             case Lookup(to, ref):
 
                 def found(response: LookupResponse | None) -> None:
                     self.apply_effects(store, queue.lookup_answered(self.now, to, ref, response))
 
-                self._ask(name, to, lambda other, reply: reply(self._look_up(other, ref)), found)
+                self._request(name, to, lambda other, reply: reply(self._look_up(other, ref)), found)
             case SendDeliveryResult(to, ref, _, _):
-                self._ask(
+                self._request(
                     name,
                     to,
                     lambda other, reply: self._delivery_result(other, name, effect, reply),
@@ -154,7 +156,7 @@
         if store.stalled_until > self.now:
             self.later(store.stalled_until - self.now + 0.1, self._write_message, store, ref)
             return
-        if store.full > self.now:
+        if store.full_until > self.now:
             effects = store.queue.message_written(self.now, ref, "full")
             self._when_resumed(store.name, incarnation, lambda: self.apply_effects(store, effects))
             return
@@ -182,7 +184,7 @@
         if store.stalled_until > self.now:
             self.later(store.stalled_until - self.now + 0.1, self._write_final_state, store, ref)
             return
-        if store.full > self.now:
+        if store.full_until > self.now:
             effects = store.queue.final_state_written(self.now, ref, "full")
             self._when_resumed(store.name, incarnation, lambda: self.apply_effects(store, effects))
             return
@@ -217,7 +219,7 @@
         if message is None or message.synced:
             reply(True)
             return
-        if store.full > self.now:
+        if store.full_until > self.now:
             reply(False)
             return
 
@@ -239,7 +241,7 @@
         self.apply_effects(store, store.queue.final_state_learned(self.now, ref, final_state))
         if store.stalled_until > self.now:
             return
-        if store.full > self.now:
+        if store.full_until > self.now:
             reply(False)
             return
 
--- a/sableford/simulation/stores/faults.py
+++ b/sableford/simulation/stores/faults.py
@@ -126,7 +126,7 @@
             case "stall":
                 store.stalled_until = self.now + duration_ms
             case "full":
-                store.full = self.now + duration_ms
+                store.full_until = self.now + duration_ms
             case "replace":
                 self.end(name)
                 self.later(duration_ms, self.start, self._new_store(store.zone))
--- a/sableford/simulation/stores/leader.py
+++ b/sableford/simulation/stores/leader.py
@@ -34,7 +34,7 @@
     def _status(self, store: SimulatedStore) -> MemberStatus:
         queue = store.queue
         number, is_safe = queue.state.view.number, queue.is_safe()
-        is_full = queue.state.full = store.full > self.now
+        is_full = queue.state.full = store.full_until > self.now
         return MemberStatus(
             incarnation=store.incarnation,
             role="store",
--- a/sableford/simulation/stores/model.py
+++ b/sableford/simulation/stores/model.py
@@ -59,7 +59,7 @@
 }
 
 
-class Wrong(Exception):
+class RuleViolation(Exception):
     """A rule was broken. The message lists what clients and workers observed."""
 
 
@@ -78,7 +78,7 @@
         self.stored_zones: dict[str, str] = {}
         self.completeness = ""  # "" before the first start, then "whole" or "lost"
         self.alive, self.frozen_until, self.stalled_until = False, 0.0, 0.0
-        self.full = 0.0  # until then its disk rejects writes
+        self.full_until = 0.0  # until then its disk rejects writes
         self.incarnation = ""
         self.queue: Queue | None = None
         self.selector: WorkerSelector | None = None
--- a/sableford/simulation/stores/network.py
+++ b/sableford/simulation/stores/network.py
@@ -42,7 +42,7 @@
             return
         callback(store, *args)
 
-    def _ask(self, sender: str, to: str, handle: Callable, on_answer: Callable) -> None:
+    def _request(self, sender: str, to: str, handle: Callable, on_answer: Callable) -> None:
         """Sends a request. `on_answer` gets the answer at the sender, or None after a time-out."""
         incarnation, finished = self.stores[sender].incarnation, []
         peer_incarnation = self.stores[sender].queue.state.incarnation_of(to)
--- a/sableford/simulation/stores/traffic.py
+++ b/sableford/simulation/stores/traffic.py
@@ -127,7 +127,7 @@
 
     def _client(self, number: int) -> None:
         if self.now < self.seconds:
-            self.later(self.rng.expovariate(self._per_s) * 1000.0, self._client, number + 1)
+            self.later(self.rng.expovariate(self._messages_per_s) * 1000.0, self._client, number + 1)
         key = f"k{self.rng.randrange(6)}" if self.rng.random() < 0.6 else ""
         id = f"{number}" + ("7p" if self.rng.random() < 0.01 else "")
         shard = shard_of(key) if key else self.rng.randrange(60)
--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -143,14 +143,14 @@
 def term_not_compared(original: Callable) -> Callable:
     """Accepts entries of an older term, and responses to them, as if they were of the current one."""
 
-    def heard(self: RaftNode, now: float, sender: str, incarnation: int, message: Any) -> Any:
+    def handle_message(self: RaftNode, now: float, sender: str, incarnation: int, message: Any) -> Any:
         old = isinstance(message, AppendRequest) and message.term < self.term
         other = isinstance(message, AppendResponse) and self.is_leader
         return original(
             self, now, sender, incarnation, replace(message, term=self.term) if old or other else message
         )
 
-    return heard
+    return handle_message
 
 
 def answered_before_synced(original: Callable) -> Callable:
@@ -382,7 +382,7 @@
         LEADERS,
     ),
     "entries of an older term are taken": Mistake(
-        RaftNode, "heard", term_not_compared, LOST | {"unforeseen"}, LEADERS
+        RaftNode, "handle_message", term_not_compared, LOST | {"unforeseen"}, LEADERS
     ),
     "entries after another term's are kept": Mistake(
         RaftNode, "_handle_append_request", entry_of_another_term_kept, LOST | REPEATS | {"unforeseen"}, RACES
--- a/tests/leader_startup.py
+++ b/tests/leader_startup.py
@@ -9,7 +9,7 @@
 from sableford.control.protocol import JoinRequest, RenewRequest
 from sableford.control.view import SHARDS, StoreInfo, View
 from sableford.control.view_flow import MAX_WAIT_MS
-from sableford.simulation.stores import Simulation, Wrong
+from sableford.simulation.stores import RuleViolation, Simulation
 from sableford.store.messages import replica_of
 from sableford.store.queue import Queue
 from tests.store_fences import queue_with_delivery_in_flight
@@ -174,7 +174,7 @@
     assert queue.drop_allowed(10.0, "01-z", queue.state.view.epochs[1])
 
 
-RELIEVED = {"faults": 8, "kinds": ("relieve",), "seconds": 16.0, "per_s": 60.0, "delay_ms": 6000.0}
+RELIEVED = {"faults": 8, "kinds": ("relieve",), "seconds": 16.0, "messages_per_s": 60.0, "delay_ms": 6000.0}
 
 
 def shows_nothing_is_lost_as_a_store_returns_from_a_cut_and_the_others_are_killed() -> None:
@@ -189,8 +189,8 @@
     try:
         for seed in range(6):
             Simulation(seed, **RELIEVED).play()
-    except Wrong as wrong:
-        assert str(wrong).split(" in walk")[0] in ("LOST", "ORDER"), wrong
+    except RuleViolation as violation:
+        assert str(violation).split(" in walk")[0] in ("LOST", "ORDER"), violation
     else:
         raise AssertionError("not found")
     finally:
--- a/tests/store_fences.py
+++ b/tests/store_fences.py
@@ -3,7 +3,7 @@
 from contextlib import suppress
 
 from sableford.control.view import SHARDS, StoreInfo, View
-from sableford.simulation.stores import DOC, Simulation, Wrong
+from sableford.simulation.stores import DOC, RuleViolation, Simulation
 from sableford.store.messages import Deliver, DropReplica, Effect, Pull, State
 from sableford.store.protocol import MessageState, PullResponse, PutRequest
 from sableford.store.queue import Queue
@@ -95,20 +95,20 @@
     owner, got = walk.stores["s0"], []
 
     def ask() -> None:
-        walk._ask("s0", "s1", lambda other, reply: reply(True), got.append)
+        walk._request("s0", "s1", lambda other, reply: reply(True), got.append)
         restarted = {name: StoreInfo("later", "z") for name in walk.stores}
         owner.queue.state.view = View(owner.queue.state.view.number, live_stores=restarted)
 
     walk.later(3000.0, ask)
     walk.later(3010.0, setattr, walk, "_events", [])
-    with suppress(Wrong):  # the run is cut short
+    with suppress(RuleViolation):  # the run is cut short
         walk.play()
     assert got == [None]
 
 
 LONGER = {"routes": [route | {"deadlineMs": 4000} for route in DOC["routes"]], "backends": DOC["backends"]}
 HANGS = {"faults": 12, "kinds": ("hang",), "stores": 4, "seconds": 14.0, "delay_ms": 6000.0}
-HANGS |= {"doc": LONGER, "per_s": 60.0}  # deliveries that may last longer than a lease
+HANGS |= {"doc": LONGER, "messages_per_s": 60.0}  # deliveries that may last longer than a lease
 
 
 class SendsAfterLoading(Queue):
@@ -124,8 +124,8 @@
     rules = set()
     for seed in range(10):
         try:
-            Simulation(seed, make=SendsAfterLoading, **HANGS).play()
-        except Wrong as wrong:
-            rules.add(str(wrong).split(" in walk")[0])
+            Simulation(seed, queue_factory=SendsAfterLoading, **HANGS).play()
+        except RuleViolation as violation:
+            rules.add(str(violation).split(" in walk")[0])
             break
     assert rules & {"FENCE", "ORDER", "TWICE"}, rules
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -36,7 +36,7 @@
 from sableford.control.timing import QUORUM_FRESH_MS
 from sableford.control.view import SHARDS, StoreInfo, View, balanced_owners
 from sableford.node.cli import main
-from sableford.simulation.stores import DOC, Simulation, Wrong
+from sableford.simulation.stores import DOC, RuleViolation, Simulation
 from sableford.store.delivery import request_of, verdict_of
 from sableford.store.delivery_results import DeliveryResults
 from sableford.store.message_replication import MessageReplication
@@ -127,9 +127,9 @@
 def found(make: type[Queue], kinds: tuple[str, ...], seeds: int = 60) -> str:
     for seed in range(seeds):
         try:
-            Simulation(seed, 6, kinds, make=make).play()
-        except Wrong as wrong:
-            return str(wrong).split(" in walk")[0].split()[0]
+            Simulation(seed, 6, kinds, queue_factory=make).play()
+        except RuleViolation as violation:
+            return str(violation).split(" in walk")[0].split()[0]
     return ""
 
 
@@ -457,7 +457,7 @@
             pending, self.messages = self.messages, []
             for sender, to, message in pending:
                 if not {sender, to} & self.isolated:
-                    self.apply_effects(to, self.all[to].heard(self.now, sender, 1, message))
+                    self.apply_effects(to, self.all[to].handle_message(self.now, sender, 1, message))
             for name, record in self.all.items():
                 record.known_members = tuple(self.all)
                 if self.now >= record.due and name not in self.isolated:
