--- a/sableford/net/cli.py
+++ b/sableford/net/cli.py
@@ -136,7 +136,7 @@
 
 def create_fleet_actor(*given: object) -> object:
     """Creates the fleet's actor, whose modules are only imported when needed."""
-    return import_module("sableford.fleet.actor").Fleet(*given)
+    return import_module("sableford.fleet.actor").FleetActor(*given)
 
 
 def _exit_bad_config(problem: ValueError) -> None:
--- a/sableford/net/startup_config.py
+++ b/sableford/net/startup_config.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from sableford.common.serial_executor import SerialExecutor
-from sableford.fleet.seat import Seat, read_seat
+from sableford.fleet.config import FleetConfig, read_fleet_config
 from sableford.intake.scheduler_settings import SchedulerSettings, merge_settings, parse_settings
 from sableford.net import wire
 from sableford.net.limits import Limits, divide_resources
@@ -36,7 +36,7 @@
     file_addresses: tuple[tuple[str, int] | None, ...]
     keys: frozenset[str]  # path of every key in the file
     peers: tuple[tuple[str, int], ...] = ()  # all schedulers by position; empty if peer messages are off
-    fleet: Seat | None = None  # place in the fleet; None if switched off
+    fleet: FleetConfig | None = None  # place in the fleet; None if switched off
 
     def limits_per_process(self, processes: int) -> Limits:
         """The limits of one of `processes` processes that divide the resources."""
@@ -183,7 +183,7 @@
         raise ValueError(f"{path}: peers: {problem}") from problem
     peers = peers if talk else ()
     try:
-        fleet_seat = read_seat(bytes(text.fleet), text.name) if fleet else None
+        fleet_seat = read_fleet_config(bytes(text.fleet), text.name) if fleet else None
     except ValueError as problem:
         raise ValueError(f"{path}: {problem}") from problem
     # In a fleet, peer messages travel over the fleet's transport, if the settings allow them.
