--- a/tests/pairs.py
+++ b/tests/pairs.py
@@ -369,6 +369,6 @@
                 starts[me] = starts.get(me, seed) + 1
                 return (before if (starts[me] + int(me[1:])) % 2 else Queue)(me, *given)
 
-            walk = Simulation(500 + seed, make=make).play()
+            walk = Simulation(500 + seed, queue_factory=make).play()
             accepted += len(walk.accepted)
         assert accepted > 3000, accepted
--- a/tests/store_full_disk.py
+++ b/tests/store_full_disk.py
@@ -25,7 +25,7 @@
     store, owned = walk.stores["s1"], []
 
     def fills() -> None:
-        store.full = 7000.0
+        store.full_until = 7000.0
 
     for at in (3900.0, 5000.0, 8500.0):
         walk.later(at, lambda: owned.append(len(store.queue.state.owned)))
--- a/tests/store_losses.py
+++ b/tests/store_losses.py
@@ -6,7 +6,7 @@
 
 from sableford.control.coordinator import Coordinator
 from sableford.control.view import NO_VIEW, SHARDS
-from sableford.simulation.stores import Simulation, Wrong
+from sableford.simulation.stores import RuleViolation, Simulation
 from sableford.store.durability import Tolerated, Topology, is_durable, is_loss_tolerated
 from sableford.store.final_state_replication import FinalStateReplication
 from sableford.store.queue import Queue
@@ -18,9 +18,9 @@
     """Returns the rule that the first failing seed breaks, and the seed; "" and -1 if none fails."""
     for seed in seeds:
         try:
-            Simulation(seed, make=make, **walk).play()
-        except Wrong as wrong:
-            return str(wrong).split(" in walk")[0], seed
+            Simulation(seed, queue_factory=make, **walk).play()
+        except RuleViolation as violation:
+            return str(violation).split(" in walk")[0], seed
     return "", -1
 
 
@@ -49,7 +49,7 @@
     assert rule in ("LOST (no state)", "LOST (answered 404)"), rule
 
 
-ZONES = {"faults": 12, "stores": 6, "seconds": 16.0, "places": "aabbcc", "zones": 1, "delay_ms": 6000.0}
+ZONES = {"faults": 12, "stores": 6, "seconds": 16.0, "zone_letters": "aabbcc", "zones": 1, "delay_ms": 6000.0}
 
 
 class AnyZone(ReplicaPlacement):
@@ -78,7 +78,7 @@
 
 def owned_after_a_zone_is_lost(make: type[Queue]) -> int:
     """Returns how many shards are served 3 s after a third of the stores lost power, which return later."""
-    walk = Simulation(7, 0, make=make, stores=6, places="aabbcc", zones=1)
+    walk = Simulation(7, 0, queue_factory=make, stores=6, zone_letters="aabbcc", zones=1)
     served = []
     walk.later(4000.0, walk._lose_zone, "za", 9000.0, False)
     walk.later(7000.0, lambda: served.append(walk.shards_served()))
@@ -171,7 +171,7 @@
 
 
 OVERLAP = {"faults": 6, "kinds": ("overlap", "wipe", "cut", "power", "core"), "seconds": 16.0}
-OVERLAP |= {"per_s": 60.0, "delay_ms": 6000.0}
+OVERLAP |= {"messages_per_s": 60.0, "delay_ms": 6000.0}
 
 
 def shows_a_disk_lost_while_another_store_is_cut_off_loses_nothing_and_no_client_gets_404() -> None:
