--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Plain asserts on the counting over a fleet's logs."""
+"""Counting of events over the logs of several schedulers."""
 
 import tempfile
 from pathlib import Path
@@ -23,18 +23,18 @@
 """
 
 
-def shows_logs_of_many_schedulers_are_counted_as_one_fleet_and_cut_lines_passed_over() -> None:
+def shows_logs_of_several_schedulers_are_counted_together_and_truncated_lines_are_skipped() -> None:
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "n1.log").write_text(N1)
         Path(folder, "n2.log").write_text(N2)
         tally = Tally(2.5)
-        for told in read_events(Path(folder)):
-            tally.add(told)
+        for event in read_events(Path(folder)):
+            tally.add(event)
         first, second = tally.counts[0], tally.counts[1]
         assert first["took"] == first["post"] == first["post again"] == first["opened"] == 1, first
         assert first["no_connection"] == first["DECLINED"] == 1, first
         assert second["post"] == 1 and second["took"] == 0, second
-        # By age, each by what its scheduler was told.
+        # By the age of the worker, as its scheduler knew it.
         assert tally.posts_by_age == {2: 1, 4: 1}, tally.posts_by_age
         shown = CliRunner().invoke(main, [folder])
         assert (
