--- a/sableford/net/client.py
+++ b/sableford/net/client.py
@@ -72,9 +72,8 @@
         self._opened_at = self._state_since
         self._served = False  # a txn on this connection was answered
         self._request: Request | None = None
-        self._reading = self._lingering = self._close_requested = self._closed = self._awaiting_body_grant = (
-            self._grace_used
-        ) = False
+        self._reading = self._lingering = self._closed = False
+        self._close_requested = self._awaiting_body_grant = self._grace_used = False
         self._resume_at, self._discarded = 0.0, 0
         self._wants_data = asyncio.Event()
 
@@ -252,10 +251,8 @@
                 else:
                     return
         except h11.RemoteProtocolError as problem:
-            headers_given = {431: "the head is too long", 501: "unknown coding"}
-            self._reject(
-                problem.error_status_hint, headers_given.get(problem.error_status_hint, "can't be read")
-            )
+            reasons = {431: "the head is too long", 501: "unknown coding"}
+            self._reject(problem.error_status_hint, reasons.get(problem.error_status_hint, "can't be read"))
         except InvalidRequest as problem:
             self._reject(problem.status, problem.reason)
 
@@ -270,12 +267,12 @@
             raise InvalidRequest(400, "two lengths")
         if any(names.count(name) > 1 for name in wire.SINGLE_HEADERS):
             raise InvalidRequest(400, "a header twice")
-        headers_given = dict(head.headers)
-        size = int(headers_given.get(wire.LENGTH, b"0"))
+        request_headers = dict(head.headers)
+        size = int(request_headers.get(wire.LENGTH, b"0"))
         if size > self._limits.max_body:
             raise InvalidRequest(413, "the body is too long")
         try:
-            self._validate(head.method, head.target.partition(b"?")[0], headers_given)
+            self._validate(head.method, head.target.partition(b"?")[0], request_headers)
         except InvalidRequest as problem:
             self._rejection = problem
         if self._connection.state.they_are_waiting_for_100_continue:
@@ -287,7 +284,7 @@
             self._awaiting_body_grant = True
             self._acceptor.put(BodyReservation(self, max_size))
 
-    def _validate(self, method: bytes, path: bytes, headers_given: dict[bytes, bytes]) -> None:
+    def _validate(self, method: bytes, path: bytes, request_headers: dict[bytes, bytes]) -> None:
         """Raises InvalidRequest if method, path or headers are not acceptable."""
         if path == wire.READY:
             if method not in (b"GET", b"HEAD"):
@@ -297,11 +294,11 @@
             raise InvalidRequest(404, "no such path")
         if method != wire.JOB_METHOD:
             raise InvalidRequest(405, "method")
-        if not wire.is_valid_id(headers_given.get(wire.ID, b"")):
+        if not wire.is_valid_id(request_headers.get(wire.ID, b"")):
             raise InvalidRequest(400, "no sensible id")
-        if headers_given.get(wire.SCHEME, b"").decode("latin-1") not in self._settings.accepted_schemes:
+        if request_headers.get(wire.SCHEME, b"").decode("latin-1") not in self._settings.accepted_schemes:
             raise InvalidRequest(400, "unknown class")
-        time_left = wire.parse_time_left(headers_given.get(wire.TIME_LEFT, b""))
+        time_left = wire.parse_time_left(request_headers.get(wire.TIME_LEFT, b""))
         if time_left is None or not 0.0 < time_left <= self._limits.max_time_left:
             raise InvalidRequest(400, "no sensible time left")
 
@@ -327,20 +324,20 @@
     def _submit(self) -> None:
         """Passes a complete request to the dispatcher, which owes one answer to it."""
         now, head = self._clock.now(), self._head
-        headers_given = dict(head.headers)
+        request_headers = dict(head.headers)
         scheme, time_left = (
-            headers_given[wire.SCHEME].decode("latin-1"),
-            wire.parse_time_left(headers_given[wire.TIME_LEFT]),
+            request_headers[wire.SCHEME].decode("latin-1"),
+            wire.parse_time_left(request_headers[wire.TIME_LEFT]),
         )
         forwarded = wire.forwarded_headers(head.headers.raw_items())
         request = Request(self.mailbox, head.method, head.target, forwarded, bytes(self._body))
         self._body = bytearray()
-        request.id, request.scheme = headers_given[wire.ID], self._settings.schemes.index(scheme)
+        request.id, request.scheme = request_headers[wire.ID], self._settings.schemes.index(scheme)
         request.expiry = now + time_left - self._limits.network_allowance
         if self._stopped_at and now > self._stopped_at + self._limits.accept_after_stop:
             # Clients keep using open connections: late requests must be answered before the kill.
             request.expiry = min(request.expiry, self._stopped_at + self._limits.answer_after_stop)
-        request.slots, request.work = wire.parse_facts(headers_given.get(wire.FACTS, b""))
+        request.slots, request.work = wire.parse_facts(request_headers.get(wire.FACTS, b""))
         if self._log.each_txn:
             self._log.event("took", id=request.id, scheme=scheme, left=time_left, target=head.target)
         self._request = request
--- a/sableford/net/dispatcher.py
+++ b/sableford/net/dispatcher.py
@@ -288,9 +288,9 @@
         # Peer messages that still arrive after they were switched off are ignored.
         if (
             self._settings.config.notify_peers
-            and (label := self._index.decode_load(message.payload)) is not None
+            and (load := self._index.decode_load(message.payload)) is not None
         ):
-            self._handle_event(PeerUpdate(message.peer, *label))
+            self._handle_event(PeerUpdate(message.peer, *load))
 
     def _update_workers(self, message: WorkerListUpdate) -> None:
         """Applies a worker list update at once, so that a drain is known before the next posting."""
--- a/tests/socket_scenes.py
+++ b/tests/socket_scenes.py
@@ -4,19 +4,19 @@
 event not to occur, and after `now` it does not wait.
 
     worker A [shut|deaf]              listed; listening, not listening, or not accepting
-    take t1 quote left=900m on=c      a client sends t1, on a connection of its own or on c
-    say t1 started|running|done TEXT|failed|returned|lost|STATUS HEADER|text LINE|end|cut
+    send t1 quote left=900m on=c      a client sends t1, on a connection of its own or on c
+    reply t1 started|running|done TEXT|failed|returned|lost|STATUS HEADER|text LINE|end|cut
     dead A                            resets each connection that is reused
-    list A phase=leaving | list whole A | list old A | agent mute|speak|drop
+    list A phase=leaving | list whole A | list old A | agent silent|answer|reset
     file settings.schemes.0.expiry_s -5 | file seed drop | file settings.schemes + JSON     before a reload
-    call c POST /workers/A/maint | whisper c BYTES     to the console, which `terms door=1` opens
+    call c POST /workers/A/maint | console c BYTES     to the console, which `options console=1` opens
     raw c BYTES [~ BYTES ...]         in pieces, with a delay between them
-    hangup c | sigterm | reload [torn] KEY=VALUE | fail | files 1 | wait 20
-    drip                              from now on stubs and clients send byte by byte
-    speak p1 A 3                      another scheduler reports its load at A (`terms peers=2` has p1)
-    recorded: word p1 A 1 | at A t1 LINE BODY | closed A t1
+    hangup c | sigterm | reload [torn] KEY=VALUE | fail | descriptors 1 | wait 20
+    bytewise                          from now on stubs and clients send byte by byte
+    peer p1 A 3                       another scheduler reports its load at A (`options peers=2` has p1)
+    recorded: load p1 A 1 | at A t1 LINE BODY | closed A t1
     answer t1 200 BODY | closed c | watch 3 | whole | log EVENT | in force x,y (schemes after a reload)
-    called c 200 TEXT | hushed c (no answer) | ends 0 | probe A | copy t1 (two at once at workers)
+    called c 200 TEXT | unanswered c (no answer) | ends 0 | probe A | copy t1 (two at once at workers)
 """
 
 import asyncio
@@ -56,32 +56,32 @@
             free.bind((self.host(2), 0))
             other.bind((self.host(4), 0))
             self.address, self.console = ("{}:{}".format(*one.getsockname()) for one in (free, other))
-        terms = self.terms
+        given = self.options
         settings = {
-            "instances": int(terms["peers"]),
+            "instances": int(given["peers"]),
             "schemes": self.schemes,
             "limits": {
                 "peers": False,
-                "most_postings": int(terms["postings"]),
+                "most_postings": int(given["postings"]),
                 "may_cancel": True,
-                "probes": bool(terms["probes"]),
+                "probes": bool(given["probes"]),
                 "retry_after": True,
-                "max_retry_after_s": terms["pause"],
-                "conn_idle_s": terms["idle"],
+                "max_retry_after_s": given["pause"],
+                "conn_idle_s": given["idle"],
             },
             "obligations": {
                 "overload_factor": 2.5,
                 "fall_s": 2,
                 "start_capacity": 0.2,
                 "warm_within_s": 9,
-                "ask_within_s": terms["ask"],
+                "ask_within_s": given["ask"],
             },
-            "registry_mode": "subscribe" if terms["ask"] else "automatic",
+            "registry_mode": "subscribe" if given["ask"] else "automatic",
             "load_info": {"columns": ["depth", "x0"], "via": "inline"},
             "specifics": {
                 "report_x0": "free slots",
-                "tells_start": bool(terms["tells"]),
-                "progress_s": terms["progress"],
+                "tells_start": bool(given["tells"]),
+                "progress_s": given["progress"],
             },
             "zones": ["here", "there"],
             "skus": ["box"],
@@ -92,14 +92,14 @@
             "listen": self.address,
             "discovery": address,
             "seed": "5eed",
-            "limits": {"sockets": int(terms["sockets"]), "memory_mb": 64},
+            "limits": {"sockets": int(given["sockets"]), "memory_mb": 64},
             "known": self.listing(self.members, True),
             "settings": settings,
         }
-        if terms["door"]:
+        if given["console"]:
             self.config["console"] = self.console
-        if terms["peers"] > 1:
-            self.config["peers"] = [self.address, *map(self.peer, range(1, int(terms["peers"])))]
+        if given["peers"] > 1:
+            self.config["peers"] = [self.address, *map(self.peer, range(1, int(given["peers"])))]
         self.file.write_text(json.dumps(self.config))
         loaded = read_config(str(self.file), talk=True)
         loaded = loaded._replace(limits=loaded.limits._replace(**self.limits))
@@ -107,26 +107,26 @@
         self.running.add_done_callback(lambda task: self.observed.append(f"ends {task.result()}"))
         await self.until("watch *")
 
-    async def do_speak(self, peer: str, *rest: str) -> None:
+    async def do_peer(self, peer: str, *rest: str) -> None:
         line = self.peers[int(peer[1:]) - 1]
-        word = (
+        payload = (
             struct.pack("<HB", crc32(rest[0].encode()) & HASH_MASK, int(rest[1]))
             if rest[1:]
             else rest[0].encode()
         )
         host, _, port = self.address.rpartition(":")
-        line.sendto(word, (host, int(port)))
+        line.sendto(payload, (host, int(port)))
 
     async def step(self, words: list[str]) -> None:
         verb, *rest = words
-        if verb not in ("terms", "limits", "scheme", "worker"):
+        if verb not in ("options", "limits", "scheme", "worker"):
             if self.running is None:
                 await self.open()
             self.observed.clear()
         await getattr(self, f"do_{verb}")(*rest)
 
-    async def do_terms(self, *rest: str) -> None:
-        self.terms |= options(rest)
+    async def do_options(self, *rest: str) -> None:
+        self.options |= options(rest)
 
     async def do_limits(self, *rest: str) -> None:
         self.limits |= {
@@ -134,8 +134,8 @@
         }
 
     async def do_scheme(self, name: str, repeats: str, *rest: str) -> None:
-        word = {"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}[repeats]
-        given = {"name": name, "effect": word, "sla_time_s": 1.0, "expiry_s": 5.0, "dedup_scope": "all"}
+        effect = {"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}[repeats]
+        given = {"name": name, "effect": effect, "sla_time_s": 1.0, "expiry_s": 5.0, "dedup_scope": "all"}
         self.schemes.append(given | {"memory_span_s": 9.0} | options(rest))
 
     async def do_worker(self, name: str, *rest: str) -> None:
@@ -177,13 +177,13 @@
         self.revision += 1
         self.send_listing(rest[:1], False)
 
-    async def do_agent(self, word: str) -> None:
-        """`mute`: discovery stops answering; `drop`: it resets its connections; `speak`: it answers again."""
-        self.silent = word == "mute"
-        for writer in self.watchers if word == "drop" else ():
+    async def do_agent(self, action: str) -> None:
+        """`silent`: discovery stops answering; `reset`: resets its connections; `answer`: answers again."""
+        self.silent = action == "silent"
+        for writer in self.watchers if action == "reset" else ():
             writer.transport.abort()
 
-    async def do_take(self, txns: str, scheme: str, *rest: str) -> None:
+    async def do_send(self, txns: str, scheme: str, *rest: str) -> None:
         """Sends each txn on a connection of its own, or on the one named by `on=`."""
         arguments = dict(word.split("=") for word in rest)
         for txn in expand_range(txns):
@@ -218,9 +218,9 @@
         self.put(self.clients[name], data)
 
     async def do_call(self, name: str, method: str, path: str) -> None:
-        await self.do_whisper(name, f"{method} {path} HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n")
+        await self.do_console(name, f"{method} {path} HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n")
 
-    async def do_whisper(self, names: str, *rest: str) -> None:
+    async def do_console(self, names: str, *rest: str) -> None:
         """Sends bytes to the console, on a connection per caller."""
         for name in expand_range(names):
             if name not in self.callers:
@@ -230,7 +230,7 @@
             text = " ".join(rest).replace("*70000", "9" * 70_000).encode().decode("unicode_escape")
             self.put(self.callers[name], text.encode("latin-1"))
 
-    async def do_drip(self) -> None:
+    async def do_bytewise(self) -> None:
         self.byte_by_byte = True
 
     async def do_dead(self, name: str) -> None:
@@ -239,32 +239,32 @@
     async def do_hangup(self, name: str) -> None:
         self.clients[name].transport.abort()
 
-    async def do_say(self, txn: str, word: str, *rest: str) -> None:
+    async def do_reply(self, txn: str, state: str, *rest: str) -> None:
         """A worker's event on a txn; `text`: a raw line, `end`: end of stream, `cut`: connection reset."""
         writer, text = self.posting_writers[txn], " ".join(rest)
-        if word == "cut":
+        if state == "cut":
             writer.transport.abort()
-        elif word == "end":
+        elif state == "end":
             writer.write(b"0\r\n\r\n")
-        elif word.isdigit():
+        elif state.isdigit():
             self.finished.add(txn)
-            self.put(writer, f"HTTP/1.1 {word} Said\r\n{text}\r\nContent-Length: 0\r\n\r\n".encode())
+            self.put(writer, f"HTTP/1.1 {state} Said\r\n{text}\r\nContent-Length: 0\r\n\r\n".encode())
         else:
-            given = {"id": txn, "from": "w", "state": word}
-            if word == "done":
+            given = {"id": txn, "from": "w", "state": state}
+            if state == "done":
                 given |= {
                     "result": text.encode().decode("unicode_escape"),
-                    "load": {"queue": 0, "x0": self.terms["free"]},
+                    "load": {"queue": 0, "x0": self.options["free"]},
                 }
-            given |= {"share": 0.5} if word == "running" else {}
-            line = (text if word == "text" else json.dumps(given)).encode() + b"\n"
+            given |= {"share": 0.5} if state == "running" else {}
+            line = (text if state == "text" else json.dumps(given)).encode() + b"\n"
             head = (
                 b""
                 if txn in self.started_streams
                 else b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             )
             self.started_streams.add(txn)
-            last = b"" if word in ("started", "running", "text") else b"0\r\n\r\n"
+            last = b"" if state in ("started", "running", "text") else b"0\r\n\r\n"
             self.finished |= {txn} if last else set()
             self.put(writer, head + b"%x\r\n%b\r\n" % (len(line), line) + last)
 
@@ -302,11 +302,11 @@
 
         def fail(core: Scheduler, now: float, event) -> None:
             Scheduler.handle = original
-            raise RuntimeError("told to")
+            raise RuntimeError("injected failure")
 
         Scheduler.handle = fail
 
-    async def do_files(self, left: str) -> None:
+    async def do_descriptors(self, left: str) -> None:
         """Leaves so many descriptors to the whole process including stubs; `all` frees them again."""
         for number in self.held_descriptors:
             os.close(number)
@@ -350,7 +350,7 @@
             except Exception as problem:
                 raise AssertionError(f"line {number}: {type(problem).__name__}: {problem}") from problem
     finally:
-        await scene.do_files("all")
+        await scene.do_descriptors("all")
         for line in scene.peers:
             asyncio.get_running_loop().remove_reader(line)
             line.close()
--- a/tests/socket_stubs.py
+++ b/tests/socket_stubs.py
@@ -24,10 +24,11 @@
 
     def __init__(self) -> None:
         self.observed: list[str] = []
-        self.terms = options(
-            "sockets=200 idle=60 free=4 tells=0 probes=0 postings=4 progress=0 pause=2 ask=0 door=0".split()
+        self.options = options(
+            "sockets=200 idle=60 free=4 tells=0 probes=0 postings=4 progress=0 pause=2 ask=0"
+            " console=0".split()
         )
-        self.terms["peers"] = 1.0
+        self.options["peers"] = 1.0
         self.schemes: list[dict] = []
         self.limits: dict[str, float] = {}
         self.members: dict[str, dict] = {}
@@ -57,11 +58,11 @@
         """A loopback address used by this process alone, so that a free port stays free in parallel runs."""
         return f"{network()}.{250 + number}"
 
-    def write(self, sock: bytes) -> None:
-        response = json.loads(sock)
-        self.observed.append(f"log {response['event']}")
-        if response["event"] == "reloaded":
-            self.observed.append(f"in force {','.join(response['schemes'])}")
+    def write(self, line: bytes) -> None:
+        entry = json.loads(line)
+        self.observed.append(f"log {entry['event']}")
+        if entry["event"] == "reloaded":
+            self.observed.append(f"in force {','.join(entry['schemes'])}")
 
     def flush(self) -> None:
         pass
@@ -76,7 +77,7 @@
 
         def receive() -> None:
             name_hash, slots = struct.unpack("<HB", sock.recv(300))
-            self.observed.append(f"word p{number} {names_by_hash.get(name_hash, '?')} {slots}")
+            self.observed.append(f"load p{number} {names_by_hash.get(name_hash, '?')} {slots}")
 
         asyncio.get_running_loop().add_reader(sock, receive)
         return "{}:{}".format(*sock.getsockname())
@@ -146,8 +147,8 @@
             self.posting_writers[txn] = writer
             self.finished.discard(txn)
             self.started_streams.discard(txn)
-            sock = head.partition(b"\r\n")[0].decode("latin-1")
-            self.observed.append(f"at {name} {txn} {sock} {body.decode('unicode_escape')}")
+            request_line = head.partition(b"\r\n")[0].decode("latin-1")
+            self.observed.append(f"at {name} {txn} {request_line} {body.decode('unicode_escape')}")
         self.observed.append(f"closed {name} {txn}".rstrip())
         writer.close()
 
@@ -169,7 +170,7 @@
             response = b""
         head, _, body = response.partition(b"\r\n\r\n")
         status = head.split()[1].decode() if head else ""
-        self.observed.append(f"called {name} {status} {body.decode()}" if head else f"hushed {name}")
+        self.observed.append(f"called {name} {status} {body.decode()}" if head else f"unanswered {name}")
         self.callers.pop(name).close()
 
 
