--- a/tests/control_incidents.py
+++ b/tests/control_incidents.py
@@ -193,7 +193,7 @@
     assert await incident.conclusive_answer(rest, base, body) == 200
 
 
-def shows_an_order_whose_answer_was_lost_is_acknowledged_again_by_whoever_leads() -> None:
+def shows_an_order_whose_answer_was_lost_is_acknowledged_again_by_the_next_leader() -> None:
     for seed in range(2):
         Incident(seed).run(_answer_lost_as_the_leader_dies)
 
@@ -218,7 +218,7 @@
     assert record.state_machine.last - before < 2 * 8, "rejected orders were written to the log"
 
 
-def shows_of_four_operators_under_one_number_one_is_confirmed_both_times_it_asks() -> None:
+def shows_one_of_four_orders_for_one_revision_is_acknowledged_both_times_it_is_sent() -> None:
     for seed in range(2):
         Incident(seed).run(_four_operators_under_one_number)
 
--- a/tests/control_simulation.py
+++ b/tests/control_simulation.py
@@ -23,15 +23,15 @@
     return done.stdout
 
 
-def shows_walks_of_the_control_side_break_no_promise() -> None:
+def shows_the_control_plane_keeps_its_guarantees_under_faults() -> None:
     run("sableford.simulation.control", "--seeds", "0:40", "--seconds", "8")
 
 
-def shows_walks_beyond_what_is_tolerated_stay_safe() -> None:
+def shows_the_control_plane_stays_safe_beyond_the_tolerated_losses() -> None:
     run("sableford.simulation.control", "--seeds", "0:20", "--seconds", "8", "--exceed")
 
 
-def shows_a_walk_is_the_same_each_time() -> None:
+def shows_a_simulation_run_is_deterministic() -> None:
     def played() -> tuple[dict, list[str]]:
         walk = ControlSimulation(7, SimulationConfig(seconds=6.0))
         return walk.play(), [line.partition(" pid=")[0] for line in walk.checker.trace()]
@@ -39,5 +39,5 @@
     assert played() == played()
 
 
-def shows_planted_mistakes_of_the_control_side_are_found() -> None:
+def shows_planted_mistakes_of_the_control_plane_are_detected() -> None:
     run("tests.control_mistakes", "--quick", "--seeds", "24")
--- a/tests/system_simulation.py
+++ b/tests/system_simulation.py
@@ -60,7 +60,7 @@
 # Simulation runs and planted mistakes
 
 
-def shows_walks_with_kills_power_wipes_cuts_freezes_and_restarts_break_no_rule() -> None:
+def shows_stores_keep_their_guarantees_under_kills_power_loss_wipes_cuts_freezes_and_restarts() -> None:
     view_changes = accepted = 0
     for seed in range(36):
         walk = Simulation(seed).play()
@@ -149,7 +149,7 @@
 # Worker selection
 
 
-def shows_a_worker_taken_for_full_by_hearsay_is_asked_after_and_used() -> None:
+def shows_a_worker_reported_as_full_by_others_is_refreshed_and_used() -> None:
     selector = WorkerSelector("z", "seed")
     entries = [WorkerEntry(f"w{at}", "b", "10.0.0.1", 80, "z", 2, True) for at in range(2)]
     selector.put(0.0, entries[0], 0.0)
@@ -174,7 +174,7 @@
 )
 
 
-def shows_a_store_that_speaks_to_too_few_others_takes_nothing_new() -> None:
+def shows_a_store_connected_to_too_few_others_accepts_nothing_new() -> None:
     queue = Queue("s0", "b0", 1, RoutingTable(1, DOC), WorkerSelector("z0", "s0"), 600.0, True)
     queue.state.view = View((1, 1), live_stores={f"s{at}": StoreInfo(f"b{at}", f"z{at}") for at in range(3)})
     queue.state.owned, queue.state.lease = {0: (1, 1)}, 1e9
@@ -186,7 +186,7 @@
     assert [type(one) for one in effects] == [WriteMessage, CopyMessage] and effects[1].to == "s2"
 
 
-def shows_copies_go_to_another_zone_once_and_then_near() -> None:
+def shows_the_first_copy_goes_to_another_zone_and_others_stay_near() -> None:
     def copies(losses: int, zones: int, quiet: tuple[str, ...] = ()) -> list[str]:
         queue = Queue(
             "s0", "b0", losses, RoutingTable(1, DOC), WorkerSelector("z0", "s0"), 600.0, True, zones
@@ -307,7 +307,7 @@
         return PeerReply(self.links.answers[self.name])
 
 
-def shows_a_leader_that_no_seed_is_is_found_by_those_who_name_it() -> None:
+def shows_a_leader_that_is_no_seed_is_found_through_redirects() -> None:
     async def find() -> str:
         redirects, accepts = JoinResponse(False, leader="10.0.0.9"), JoinResponse(True, 3)
         links = Links({"10.0.0.1": redirects, "10.0.0.2": redirects, "10.0.0.9": accepts})
@@ -376,7 +376,7 @@
     assert out.count(b"HTTP/1.1 200") == 2
 
 
-def shows_what_is_too_large_or_smuggled_never_reaches_the_handler() -> None:
+def shows_oversized_or_smuggled_requests_never_reach_the_handler() -> None:
     reached = []
 
     def handle(request):
@@ -405,7 +405,7 @@
     assert execution(421) is Execution.NOT_RUN and execution(504) is Execution.UNKNOWN
 
 
-def shows_an_answer_behind_another_lends_it_nothing_and_spoils_its_connection() -> None:
+def shows_an_extra_response_proves_nothing_and_prevents_reuse_of_its_connection() -> None:
     """A faulty worker sends the success of another message and the failure of this one in one segment."""
     other = b"HTTP/1.1 200 OK\r\nAttempt-Id: 6\r\nServer-Seal: s6\r\nContent-Length: 0\r\n\r\n"
     own = b"HTTP/1.1 500 No\r\nAttempt-Id: 7\r\nContent-Length: 2\r\n\r\nno"
@@ -554,7 +554,7 @@
     assert cluster.leader().name != wiped and cluster.now - began < 450.0, cluster.now - began
 
 
-def shows_the_record_is_read_back_as_it_was_kept() -> None:
+def shows_the_replicated_log_is_read_back_as_it_was_written() -> None:
     folder = RecordStorage([])
     found = dict(folder.initial_write(["a", "b"]))
 
@@ -574,11 +574,11 @@
     assert (stored.id, stored.first, stored.entries) == ("id", 3, (entries[2],))
 
 
-def shows_a_folder_that_is_damaged_counts_as_a_lost_disk() -> None:
-    with tempfile.TemporaryDirectory() as place:
+def shows_a_damaged_folder_counts_as_a_lost_disk() -> None:
+    with tempfile.TemporaryDirectory() as folder_name:
 
         async def keep() -> None:
-            disk = Disk(Path(place), 16)
+            disk = Disk(Path(folder_name), 16)
             disk.open()
             assert not disk.lost
             await disk.write([(b"m1", b"one" * 500), (b"e1", b"end")])
@@ -586,16 +586,16 @@
             disk.close()
 
         asyncio.run(keep())
-        again = Disk(Path(place), 16)
-        again.open()
-        assert dict(again.load(b"e")) == {b"e1": b"end"} and not again.lost
-        again.close()
-        file = Path(place) / "data.mdb"
+        reopened = Disk(Path(folder_name), 16)
+        reopened.open()
+        assert dict(reopened.load(b"e")) == {b"e1": b"end"} and not reopened.lost
+        reopened.close()
+        file = Path(folder_name) / "data.mdb"
         file.write_bytes(file.read_bytes().replace(b"oneone", b"onyone"))
-        damaged = Disk(Path(place), 16)
+        damaged = Disk(Path(folder_name), 16)
         damaged.open()
         assert damaged.lost and not list(damaged.load(b""))
-        assert (Path(place) / "data.mdb.damaged").exists()
+        assert (Path(folder_name) / "data.mdb.damaged").exists()
 
 
 class RefusingEnvironment:
@@ -609,8 +609,8 @@
 
 
 def shows_a_disk_that_was_full_for_a_while_is_written_and_read_again() -> None:
-    async def scene(place: str) -> None:
-        disk = Disk(Path(place), 16)
+    async def scene(folder_name: str) -> None:
+        disk = Disk(Path(folder_name), 16)
         disk.open()
         await disk.write([(b"m1", b"one")])
         disk._env.close()
@@ -628,8 +628,8 @@
         assert await disk.read(b"m3") == b"three" and await disk.read(b"m2") is None
         disk.close()
 
-    with tempfile.TemporaryDirectory() as place:
-        asyncio.run(scene(place))
+    with tempfile.TemporaryDirectory() as folder_name:
+        asyncio.run(scene(folder_name))
 
 
 # Settings and the command line
@@ -638,7 +638,7 @@
 def shows_bad_settings_are_named_and_end_with_two() -> None:
     good = "nodeName: a\nbindIp: 10.0.0.1\nzone: z\nportRange: [7300, 7301]\nnewField: 3\n"
     assert parse(good, "s").port_range == (7300, 7301)
-    for text, word in (
+    for text, expected in (
         (good + "seedNodes: [x]\n", "'x'"),
         (good.replace("a\n", "[1]\n", 1), "nodeName"),
         ("{", "YAML"),
@@ -646,18 +646,18 @@
         try:
             parse(text, "s.yaml")
         except SettingsError as problem:
-            assert str(problem).startswith("s.yaml: ") and word in str(problem), problem
+            assert str(problem).startswith("s.yaml: ") and expected in str(problem), problem
         else:
             raise AssertionError(text)
-    with tempfile.TemporaryDirectory() as place:
-        file = Path(place) / "s.yaml"
+    with tempfile.TemporaryDirectory() as folder_name:
+        file = Path(folder_name) / "s.yaml"
         file.write_text(good)
         assert main(["edge", "--settings", str(file)]) == 2  # the address for clients is missing
-        assert main(["store", "--settings", str(Path(place) / "none")]) == 2
+        assert main(["store", "--settings", str(Path(folder_name) / "none")]) == 2
         assert main(["check", str(file)]) == 0
 
 
-def shows_a_log_that_nobody_reads_holds_nobody_up() -> None:
+def shows_a_log_without_a_reader_blocks_nothing() -> None:
     reader, writer = os.pipe()
     log = Log("store-1", LogWriter(writer))
     for number in range(300):  # ten times the capacity of the pipe
