--- a/tests/control_mistakes.py
+++ b/tests/control_mistakes.py
@@ -31,7 +31,7 @@
 from sableford.control.service import ControlService
 from sableford.control.workers import Worker, WorkerTable
 from sableford.duties import state as duty_state
-from sableford.duties.holding import Call, Holding
+from sableford.duties.assignment import Call, DutyAssignment
 from sableford.duties.messages import DutyNotice
 from sableford.duties.state import DutyState
 from sableford.duties.succession import Candidate
@@ -267,7 +267,7 @@
 
 def duty_handed_back(original: Callable) -> Callable:
     def next_holder(duty: str, state: DutyState, candidates: dict, barred: set) -> Candidate | None:
-        before = [one for one in candidates.values() if state.previous[-1:] == (one.node,) and one.able]
+        before = [one for one in candidates.values() if state.previous[-1:] == (one.node,) and one.eligible]
         return before[0] if before else original(duty, state, candidates, set())
 
     return next_holder
@@ -276,11 +276,11 @@
 def lease_looked_at_once(original: Callable) -> Callable:
     """Checks the lease only for the first call under an epoch."""
 
-    def may_send(self: Holding, call: Call, holds_lease: bool, leaving: bool) -> bool:
+    def may_send(self: DutyAssignment, call: Call, holds_lease: bool, leaving: bool) -> bool:
         checked_epoch = getattr(self, "checked_epoch", 0)
         if call.epoch > checked_epoch and original(self, call, holds_lease, leaving):
             self.checked_epoch = call.epoch
-        return getattr(self, "checked_epoch", 0) == call.epoch and self.is_named()
+        return getattr(self, "checked_epoch", 0) == call.epoch and self.is_assigned()
 
     return may_send
 
@@ -425,7 +425,7 @@
         unsealed_windows_sent,
         {"contents"},
         DUTIES,
-        also=((UsageLedger, "sealed", windows_not_forgotten),),
+        also=((UsageLedger, "mark_sealed", windows_not_forgotten),),
     ),
     "an epoch is used again": Mistake(duty_state, "with_holder", epoch_not_raised, {"token"}, HOLDERS),
     "epochs begin anew with a leader": Mistake(
@@ -435,15 +435,15 @@
         duty_manager, "next_holder", duty_handed_back, {"A, B, A"}, HOLDERS
     ),
     "the lease is looked at once before several calls": Mistake(
-        Holding, "may_send", lease_looked_at_once, {"late"}, HOLDERS
+        DutyAssignment, "may_send", lease_looked_at_once, {"late"}, HOLDERS
     ),
     "a refused holder goes on": Mistake(
-        Holding,
-        "refused",
+        DutyAssignment,
+        "mark_refused",
         rejection_ignored,
         {"refused"},
         HOLDERS,
-        also=((Holding, "may_send", lease_looked_at_once), (walk_platform, "LATE_MS", never_late)),
+        also=((DutyAssignment, "may_send", lease_looked_at_once), (walk_platform, "LATE_MS", never_late)),
     ),
 }
 
