--- a/sableford/__main__.py
+++ b/sableford/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m sableford`: the real scheduler's command line. It owns nothing."""
+"""`python -m sableford`: runs a scheduler on real sockets; `sableford.net.cli` defines the command line."""
 
 from sableford.net.cli import main
 
--- a/sableford/policy/scheduler.py
+++ b/sableford/policy/scheduler.py
@@ -1,4 +1,4 @@
-"""Scheduler state machine: `handle(now, event)` returns the effects in order."""
+"""Scheduler state machine: `handle(now, event)` applies an event and returns the effects in order."""
 
 from sableford.model import WorkerOverride, events
 from sableford.model.effects import Effect, FetchRoster, Wake
@@ -102,7 +102,7 @@
         self._dispatch(now)
 
     def _turnschanged(self, now: float, event: events.TurnsChanged) -> None:
-        """Of two processes of one scheduler, which share a position, only one uses its turns."""
+        """Starts or stops using turns: of two processes of one scheduler, at one position, only one does."""
         self.takes_turns, self.turns_from = event.ours, now
         self._dispatch(now)
 
@@ -122,7 +122,7 @@
             worker.ready, worker.since = effective.standing is Standing.READY, effective.since
 
     def _classify(self, now: float) -> None:
-        """Recomputes which workers are cold and which warm, after the roster has changed."""
+        """Recomputes which workers are cold and which warm, after the roster or the configuration changed."""
         ready = [entry for entry in self.listed.values() if entry.standing is Standing.READY]
         self.cold = {new.worker: new.since for new in ready if self._is_cold(new.since, now)}
         self.warming = sorted((since, index) for index, since in self.cold.items())
@@ -134,7 +134,7 @@
         self._fill_subset(now)
 
     def _apply_rating(self, worker: Worker, rating: float, now: float) -> None:
-        """Reads a live rating as a report: it is the kind's highest rating / (1 + jobs per slot)."""
+        """Derives a worker's load from its live rating: the kind's highest rating / (1 + jobs per slot)."""
         kind = worker.kind
         kind.max_rating = max(kind.max_rating, rating)
         # All get the same rating at once: used while the own estimate is fresh, it causes herding.
--- a/sableford/simulation/__init__.py
+++ b/sableford/simulation/__init__.py
@@ -1,3 +1,3 @@
-"""Parts of the system under simulated time: the code that is in service, with a simulated network, disks and
-faults around it, and judges of what callers saw. Nothing that a machine runs imports it.
+"""Simulations of parts of the system in virtual time: production code runs on simulated networks and disks
+with injected faults, and checkers verify what clients observed. Production code does not import this package.
 """
--- a/sableford/simulation/control/faults.py
+++ b/sableford/simulation/control/faults.py
@@ -320,7 +320,10 @@
         return holder if holder in self.cluster.running_stores() else None
 
     async def _kill_holder(self, machine: Machine) -> None:
-        """Kills the holder and sometimes its successors, as far as their loss is tolerated."""
+        """Kills the holder and sometimes its successors, as far as their loss is tolerated.
+
+        The holder is at times also the leader.
+        """
         for _ in range(self.rng.choice((1, 1, 2, 3))):
             holder = self._holder()
             if holder is not None and holder not in self.lost():
